--- a/crates/scale-test/src/fleet/load_monitor.rs
+++ b/crates/scale-test/src/fleet/load_monitor.rs
@@ -1,53 +1,53 @@
-//! How busy the machine is, and how much memory the run uses, second by second.
+//! Samples processor utilization of the machine and memory usage of the run once a second.
 
 use crate::machine_load::{self, CpuTime};
 
-/// Seconds between two samples.
+/// Interval between two samples, in seconds.
 const SAMPLE_INTERVAL: f64 = 1.0;
 
-/// Samples of the machine's load.
+/// Latest and peak load of the machine.
 pub struct LoadMonitor {
     sampled_at: f64,
     cores: Option<CpuTime>,
     /// Utilization of all cores in the latest second, from 0 to 1.
     pub latest_utilization: Option<f64>,
-    /// The highest utilization of a second.
-    pub highest_utilization: Option<f64>,
-    /// The highest resident memory of all processes of the run together, in GB.
-    pub highest_memory_gb: f64,
+    /// Highest utilization in any second.
+    pub peak_utilization: Option<f64>,
+    /// Highest total resident memory of the run's processes, in GB.
+    pub peak_memory_gb: f64,
 }
 
 impl LoadMonitor {
-    /// A monitor that samples from now on.
+    /// Creates a monitor with a first sample of the processor time at `now`.
     pub fn new(now: f64) -> Self {
         Self {
             sampled_at: now,
             cores: CpuTime::read(),
             latest_utilization: None,
-            highest_utilization: None,
-            highest_memory_gb: 0.0,
+            peak_utilization: None,
+            peak_memory_gb: 0.0,
         }
     }
 
-    /// Whether it is time for the next sample.
+    /// Whether the next sample is due.
     pub fn is_due(&self, now: f64) -> bool {
         now >= self.sampled_at + SAMPLE_INTERVAL
     }
 
-    /// Takes a sample. Gives the resident memory of these processes, in GB.
+    /// Takes a sample. Returns the total resident memory of these processes in GB.
     pub fn sample(&mut self, now: f64, processes: &[u32]) -> f64 {
         self.sampled_at = now;
         let cores = CpuTime::read();
         if let (Some(cores), Some(before)) = (cores, self.cores) {
             let utilization = cores.utilization_since(before);
             self.latest_utilization = Some(utilization);
-            self.highest_utilization =
-                Some(self.highest_utilization.map_or(utilization, |highest| highest.max(utilization)));
+            self.peak_utilization =
+                Some(self.peak_utilization.map_or(utilization, |highest| highest.max(utilization)));
         }
         self.cores = cores;
         let megabytes: f64 = processes.iter().copied().filter_map(machine_load::process_memory_mb).sum();
         let gigabytes = megabytes / 1e3;
-        self.highest_memory_gb = self.highest_memory_gb.max(gigabytes);
+        self.peak_memory_gb = self.peak_memory_gb.max(gigabytes);
         gigabytes
     }
 }
--- a/crates/scale-test/src/fleet/transitions.rs
+++ b/crates/scale-test/src/fleet/transitions.rs
@@ -1,39 +1,39 @@
-//! Gateways that were asked to start or to stop and have not reported that they did.
+//! Tracks gateways whose requested start or stop is not yet reported as complete.
 
 use std::collections::BTreeSet;
 
-/// The gateways that are on their way.
+/// Gateways with a pending start or stop.
 #[derive(Debug, Default)]
 pub struct Transitions {
     pending: BTreeSet<usize>,
-    /// Of them, those that start again once they have stopped.
+    /// Pending gateways that restart once they have stopped.
     to_restart: BTreeSet<usize>,
 }
 
 impl Transitions {
-    /// A gateway is asked to start or to stop.
+    /// Records that the start or stop of a gateway was requested.
     pub fn begin(&mut self, gateway: usize) {
         self.pending.insert(gateway);
     }
 
-    /// A gateway is asked to stop, and is to start again then.
+    /// Records that the stop of a gateway was requested, and that it is restarted afterwards.
     pub fn begin_restart(&mut self, gateway: usize) {
         self.pending.insert(gateway);
         self.to_restart.insert(gateway);
     }
 
-    /// A gateway started.
+    /// Records that a gateway has started.
     pub fn started(&mut self, gateway: usize) {
         self.pending.remove(&gateway);
     }
 
-    /// A gateway stopped. Gives whether it is to start again.
+    /// Records that a gateway has stopped. Returns whether it should be restarted.
     pub fn stopped(&mut self, gateway: usize) -> bool {
         self.pending.remove(&gateway);
         self.to_restart.remove(&gateway)
     }
 
-    /// Whether none is on its way.
+    /// Whether no transition is pending.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
--- a/crates/scale-test/src/run/failures.rs
+++ b/crates/scale-test/src/run/failures.rs
@@ -1,15 +1,15 @@
-//! Plays in which gateways and control machines are killed and started again, or regions are cut from each other.
+//! Failure injection: kills and restarts gateways and control machines, and partitions regions.
 
-use super::player::Player;
-use crate::control::LOOKUP_SECONDS;
+use super::plan_runner::PlanRunner;
+use crate::control::LOOKUP_LEAD_SECONDS;
 use crate::fleet::Fleet;
 use crate::plan::{Component, Play, RegionPair};
 use crate::report::{FailureDetection, PlayResult};
 use crate::stop_reason::{ProcessFailure, StopReason};
 use milletpath_gateway::hollow_gateway::clock;
 
-impl Player {
-    /// Kills that many neighbours of a zone chosen at random, all at once.
+impl PlanRunner {
+    /// Kills `count` gateways of a random zone at once and restarts them.
     pub(super) fn fail_rack(
         &mut self,
         count: usize,
@@ -20,10 +20,10 @@
         let zones = self.fleet.plan.zones.len() as u64;
         let zone = self.rng.rand_range(0..zones) as usize;
         let gateways: Vec<usize> = self.fleet.plan.gateways_in_zone(zone).take(count).collect();
-        self.fail(&gateways, &[], downtime, play, result)
+        self.fail_and_restart(&gateways, &[], downtime, play, result)
     }
 
-    /// Kills all gateways and control machines of a zone at once.
+    /// Kills all gateways and control machines of a zone at once and restarts them.
     pub(super) fn fail_zone(
         &mut self,
         zone: usize,
@@ -36,12 +36,12 @@
         let machines = 0..plan.control_machines;
         let machines: Vec<usize> =
             machines.filter(|machine| plan.zone_of_control_machine(*machine) == zone).collect();
-        self.fail(&gateways, &machines, downtime, play, result)
+        self.fail_and_restart(&gateways, &machines, downtime, play, result)
     }
 
-    /// Kills gateways and control machines at once, and starts them again when all others know of it and have applied what
-    /// was changed meanwhile, or after `downtime` seconds.
-    fn fail(
+    /// Kills gateways and control machines at once. Restarts them when all others have detected the failure and applied
+    /// the changes proposed meanwhile, or after `downtime` seconds.
+    fn fail_and_restart(
         &mut self,
         gateways: &[usize],
         control_machines: &[usize],
@@ -49,30 +49,30 @@
         play: &Play,
         result: &mut PlayResult,
     ) -> Result<(), StopReason> {
-        let began = clock();
+        let started_at = clock();
         self.fleet.kill_control_machines(control_machines);
         self.fleet.kill_gateways(gateways)?;
-        self.await_completion(Fleet::is_steady)?;
+        self.await_completion(Fleet::are_transitions_complete)?;
         self.propose_changes(play)?;
         let has_membership = self.fleet.plan.runs(Component::Membership);
         let has_changes = play.changes > 0;
-        self.wait_for(began + downtime, |fleet| {
+        self.wait_for(started_at + downtime, |fleet| {
             let is_known =
                 if has_membership { fleet.trackers.is_membership_converged() } else { has_changes };
             is_known && fleet.trackers.changes.is_converged()
         })?;
         if has_membership {
             let membership = &self.fleet.trackers.membership;
-            result.failure_known = Some(FailureDetection {
+            result.failure_detection = Some(FailureDetection {
                 detected_by: membership.converged_observers(),
-                of: membership.running_count(),
+                total: membership.running_count(),
             });
         }
         self.fleet.restart_control_machines()?;
-        self.for_each(gateways, 0.0, Fleet::start_gateway)
+        self.for_each_gateway(gateways, 0.0, Fleet::start_gateway)
     }
 
-    /// Cuts two regions from each other for `duration` seconds.
+    /// Partitions two regions from each other for `duration` seconds.
     pub(super) fn partition(
         &mut self,
         regions: RegionPair,
@@ -81,17 +81,20 @@
     ) -> Result<(), StopReason> {
         let plan = &self.fleet.plan;
         let region_of: Vec<usize> = (0..plan.gateways).map(|gateway| plan.region_of(gateway)).collect();
-        let began = clock();
-        self.fleet.links.cut_regions(regions);
-        self.fleet.trackers.membership.begin_partition(move |a, b| regions.joins(region_of[a], region_of[b]));
-        let outcome = self.propose_changes(play).and_then(|()| self.wait_until(began + duration));
-        self.fleet.links.reconnect_regions(regions);
+        let started_at = clock();
+        self.fleet.links.partition_regions(regions);
+        self.fleet
+            .trackers
+            .membership
+            .begin_partition(move |a, b| regions.connects(region_of[a], region_of[b]));
+        let outcome = self.propose_changes(play).and_then(|()| self.wait_until(started_at + duration));
+        self.fleet.links.heal_partition(regions);
         self.fleet.trackers.membership.end_partition(clock());
         outcome
     }
 
-    /// Kills the control machine that leads when half of the play's changes are proposed, and starts it again `downtime`
-    /// seconds later.
+    /// Kills the leader of the control machines when half of the play's changes are proposed, and restarts it
+    /// `downtime` seconds later.
     pub(super) fn fail_leader(
         &mut self,
         downtime: f64,
@@ -99,12 +102,12 @@
         result: &mut PlayResult,
     ) -> Result<(), StopReason> {
         self.propose_changes(play)?;
-        let half = clock() + LOOKUP_SECONDS + 0.5 * play.proposal_period;
-        self.wait_until(half)?;
+        let halfway = clock() + LOOKUP_LEAD_SECONDS + 0.5 * play.proposal_period;
+        self.wait_until(halfway)?;
         let leader = self.fleet.leader()?.ok_or(ProcessFailure::NoLeader)?;
         self.fleet.kill_control_machines(&[leader]);
         result.killed_control_machine = Some(leader);
-        self.wait_until(half + downtime)?;
+        self.wait_until(halfway + downtime)?;
         self.fleet.restart_control_machines()
     }
 }
