--- a/crates/capacity-model/src/fleet_slopes.rs
+++ b/crates/capacity-model/src/derived_runs.rs
@@ -180,7 +180,7 @@
 
 /// The slopes that the scale tests give. Results of a saturated machine are left out; a slope of fewer than
 /// [`MIN_SIZES`] fleet sizes is not made.
-pub fn fleet_slopes(scale_runs: &[ScaleRun]) -> Vec<Run> {
+pub fn derive_runs(scale_runs: &[ScaleRun]) -> Vec<Run> {
     let is_suitable = |run: &&ScaleRun| {
         run.ran("changes") && !run.ran("membership") && run.machine.saturated == Some(false)
     };
@@ -192,8 +192,8 @@
 ///
 /// # Errors
 /// A scale test cannot be read, or a run cannot be written.
-pub fn write_fleet_slopes(folder: &Path) -> Result<(), CapacityError> {
-    for run in fleet_slopes(&scale::read_all(folder)?) {
+pub fn write_derived_runs(folder: &Path) -> Result<(), CapacityError> {
+    for run in derive_runs(&scale::read_all(folder)?) {
         let path = folder.join(format!("{}.json", run.name));
         let text = serde_json::to_string_pretty(&run)
             .map_err(|source| CapacityError::Encode { path: path.clone(), source })?;
--- a/crates/capacity-model/src/lib.rs
+++ b/crates/capacity-model/src/lib.rs
@@ -7,9 +7,9 @@
 
 pub mod assumptions;
 mod breaking_point;
+pub mod derived_runs;
 pub mod error;
 pub mod fit;
-pub mod fleet_slopes;
 mod least_squares;
 pub mod number;
 pub mod page;
--- a/crates/capacity-model/tests/scale_runs.rs
+++ b/crates/capacity-model/tests/scale_runs.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use milletpath_capacity_model::fleet_slopes::fleet_slopes;
+use milletpath_capacity_model::derived_runs::derive_runs;
 use milletpath_capacity_model::page::tables;
 use milletpath_capacity_model::roles::projections;
 use milletpath_capacity_model::run;
@@ -53,13 +53,13 @@
 fn fleet_slopes_are_derived_from_the_scale_runs() {
     let folder = docs().join("capacity");
     let scale_runs = scale::read_all(&folder).unwrap();
-    let derived = fleet_slopes(&scale_runs);
+    let derived = derive_runs(&scale_runs);
     assert_eq!(derived.len(), 6);
     for run in derived {
         let committed = run::read(&folder.join(format!("{}.json", run.name))).unwrap();
         assert!(committed == run, "{} is another: milletpath capacity --derive", run.name);
     }
-    assert_eq!(fleet_slopes(&scale_runs[..3]), [], "fewer than four sizes give no slope");
+    assert_eq!(derive_runs(&scale_runs[..3]), [], "fewer than four sizes give no slope");
 }
 
 /// Of fleets that spent more CPU than is granted, or whose membership did not converge, the smallest is a shortfall.
--- a/crates/milletpath/src/capacity.rs
+++ b/crates/milletpath/src/capacity.rs
@@ -3,7 +3,7 @@
 use crate::exit_status::{CommandError, ExitStatus};
 use clap::Args;
 use milletpath_capacity_model::error::CapacityError as ModelError;
-use milletpath_capacity_model::{fleet_slopes, page};
+use milletpath_capacity_model::{derived_runs, page};
 use std::io;
 use std::path::{Path, PathBuf};
 
@@ -54,7 +54,7 @@
 /// The runs can't be read, or the page can't be read or written.
 pub fn run(options: &Options) -> Result<ExitStatus, CapacityError> {
     if options.derive {
-        fleet_slopes::write_fleet_slopes(&options.runs).map_err(CapacityError::Runs)?;
+        derived_runs::write_derived_runs(&options.runs).map_err(CapacityError::Runs)?;
     }
     let tables = page::tables(&options.runs).map_err(CapacityError::Runs)?;
     match &options.page {
