--- a/crates/capacity-model/src/assumptions.rs
+++ b/crates/capacity-model/src/assumptions.rs
@@ -92,7 +92,7 @@
     /// Longest time for which a core may be blocked by one event, in milliseconds.
     StallMilliseconds,
     /// CPU that a gateway may spend on control while the fleet starts or recovers, in percent of one core.
-    StormCpuPercent,
+    RecoveryCpuPercent,
     /// Age that a usage report may reach, in seconds.
     UsageAgeSeconds,
     /// Exponent of the Zipf distribution of calls over functions.
@@ -113,7 +113,7 @@
         Self::LoadSeconds,
         Self::BusiestRegionFraction,
         Self::StallMilliseconds,
-        Self::StormCpuPercent,
+        Self::RecoveryCpuPercent,
         Self::UsageAgeSeconds,
         Self::ZipfExponent,
     ];
@@ -132,7 +132,7 @@
             Self::LoadSeconds => "load_s",
             Self::BusiestRegionFraction => "region_share",
             Self::StallMilliseconds => "stall_ms",
-            Self::StormCpuPercent => "storm_percent",
+            Self::RecoveryCpuPercent => "storm_percent",
             Self::UsageAgeSeconds => "usage_age_s",
             Self::ZipfExponent => "zipf",
         }
--- a/crates/capacity-model/src/breaking_point.rs
+++ b/crates/capacity-model/src/breaking_point.rs
@@ -1,10 +1,10 @@
 //! The search for the size at which a quantity exceeds its limit.
 
 /// Multiple of the target size up to which the search goes.
-pub const MAX_SIZE: f64 = 100.0;
+pub const MAX_SIZE_FACTOR: f64 = 100.0;
 
 /// Fraction of the target size at which the search begins.
-const MIN_SIZE: f64 = 1e-4;
+const MIN_SIZE_FACTOR: f64 = 1e-4;
 
 /// Steps of the search, each a constant factor.
 const STEPS: usize = 300;
@@ -12,13 +12,13 @@
 const BISECTIONS: usize = 50;
 
 /// The smallest fraction of the target size at which `value` exceeds `limit`: 0 if it does so at any size, `None` if it
-/// does not up to [`MAX_SIZE`].
+/// does not up to [`MAX_SIZE_FACTOR`].
 pub(crate) fn breaking_point(value: &dyn Fn(f64) -> f64, limit: f64) -> Option<f64> {
-    let factor = (MAX_SIZE / MIN_SIZE).powf(1.0 / STEPS as f64);
-    if value(MIN_SIZE) > limit {
+    let factor = (MAX_SIZE_FACTOR / MIN_SIZE_FACTOR).powf(1.0 / STEPS as f64);
+    if value(MIN_SIZE_FACTOR) > limit {
         return Some(0.0);
     }
-    let mut low = MIN_SIZE;
+    let mut low = MIN_SIZE_FACTOR;
     for _ in 0..STEPS {
         let high = low * factor;
         if value(high) > limit {
--- a/crates/capacity-model/src/derived_runs.rs
+++ b/crates/capacity-model/src/derived_runs.rs
@@ -11,8 +11,8 @@
 const KILOBYTES_PER_BYTE: f64 = 1e-3;
 const CONTROL_MACHINES: f64 = 7.0;
 
-const FOLLOWING: &str = "a log of changes that each gateway follows (`crates/config-log`)";
-const REPLICA: &str = "a replica of the log and its followers (`crates/config-log`)";
+const FOLLOWER_MECHANISM: &str = "a log of changes that each gateway follows (`crates/config-log`)";
+const REPLICA_MECHANISM: &str = "a replica of the log and its followers (`crates/config-log`)";
 
 /// The statistic of a distribution that is carried on to the target size.
 #[derive(Clone, Copy)]
@@ -72,7 +72,7 @@
 }
 
 /// How a slope is derived. The texts are stored in the run's file.
-struct FleetSlope {
+struct Derivation {
     name: &'static str,
     mechanism: &'static str,
     quantity: &'static str,
@@ -81,50 +81,50 @@
     statistic: Statistic,
 }
 
-const FLEET_SLOPES: [FleetSlope; 6] = [
-    FleetSlope {
+const DERIVATIONS: [Derivation; 6] = [
+    Derivation {
         name: "changes-cpu",
-        mechanism: FOLLOWING,
+        mechanism: FOLLOWER_MECHANISM,
         quantity: "CPU a second of one gateway that follows changes, one a second",
         unit: "ms",
         percentiles: |run| Percentiles::cpu_milliseconds(&run.control_changes),
         statistic: Statistic::P99,
     },
-    FleetSlope {
+    Derivation {
         name: "changes-bytes",
-        mechanism: FOLLOWING,
+        mechanism: FOLLOWER_MECHANISM,
         quantity: "bytes a second of one gateway that follows changes, one a second, sent and heard",
         unit: "kB",
         percentiles: |run| Percentiles::traffic(&run.control_changes),
         statistic: Statistic::P99,
     },
-    FleetSlope {
+    Derivation {
         name: "changes-known",
-        mechanism: FOLLOWING,
+        mechanism: FOLLOWER_MECHANISM,
         quantity: "time until a change is in force at a gateway, over all plays",
         unit: "s",
         percentiles: |run| Percentiles::scaled(run.change_propagation(), 1.0),
         statistic: Statistic::Worst,
     },
-    FleetSlope {
+    Derivation {
         name: "control-cpu",
-        mechanism: REPLICA,
+        mechanism: REPLICA_MECHANISM,
         quantity: "CPU a second of one of 7 control machines, a change a second",
         unit: "ms",
         percentiles: |run| Percentiles::cpu_milliseconds(&run.control_machines),
         statistic: Statistic::Worst,
     },
-    FleetSlope {
+    Derivation {
         name: "control-bytes",
-        mechanism: REPLICA,
+        mechanism: REPLICA_MECHANISM,
         quantity: "bytes a second of one of 7 control machines, a change a second, sent and heard",
         unit: "kB",
         percentiles: |run| Percentiles::traffic(&run.control_machines),
         statistic: Statistic::Worst,
     },
-    FleetSlope {
+    Derivation {
         name: "control-memory",
-        mechanism: REPLICA,
+        mechanism: REPLICA_MECHANISM,
         quantity: "resident memory of one of 7 control machines, some 100 changes of 32 functions in all",
         unit: "MB",
         percentiles: |run| Percentiles::scaled(run.control_machines.get("memory_mb"), 1.0),
@@ -132,7 +132,7 @@
     },
 ];
 
-impl FleetSlope {
+impl Derivation {
     fn measurement(&self, scale_run: &ScaleRun) -> Option<Measurement> {
         let values = (self.percentiles)(scale_run)?;
         Some(Measurement {
@@ -182,10 +182,10 @@
 /// [`MIN_SIZES`] fleet sizes is not made.
 pub fn derive_runs(scale_runs: &[ScaleRun]) -> Vec<Run> {
     let is_suitable = |run: &&ScaleRun| {
-        run.ran("changes") && !run.ran("membership") && run.machine.saturated == Some(false)
+        run.enabled("changes") && !run.enabled("membership") && run.machine.saturated == Some(false)
     };
     let suitable: Vec<&ScaleRun> = scale_runs.iter().filter(is_suitable).collect();
-    FLEET_SLOPES.iter().filter_map(|slope| slope.run(&suitable)).collect()
+    DERIVATIONS.iter().filter_map(|slope| slope.run(&suitable)).collect()
 }
 
 /// Derives the slopes from the scale tests in a folder of runs, and writes them beside these.
--- a/crates/capacity-model/src/error.rs
+++ b/crates/capacity-model/src/error.rs
@@ -123,16 +123,16 @@
         path: PathBuf,
     },
     /// The page lacks the mark at which the generated part begins.
-    #[error("the page has no line {mark}; add it where the tables belong")]
-    MissingBeginMark {
+    #[error("the page has no line {marker}; add it where the tables belong")]
+    MissingBeginMarker {
         /// The missing line.
-        mark: &'static str,
+        marker: &'static str,
     },
     /// The page lacks the mark at which the generated part ends, or it stands before the begin mark.
-    #[error("the page has no line {mark} after the first; add it")]
-    MissingEndMark {
+    #[error("the page has no line {marker} after the first; add it")]
+    MissingEndMarker {
         /// The missing line.
-        mark: &'static str,
+        marker: &'static str,
     },
 }
 
--- a/crates/capacity-model/src/fit.rs
+++ b/crates/capacity-model/src/fit.rs
@@ -12,69 +12,70 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Form {
     /// Constant.
-    Flat,
+    Constant,
     /// With log(1 + n).
-    Log,
+    Logarithmic,
     /// With n.
     Linear,
     /// With n · log(1 + n).
-    LinearLog,
+    Linearithmic,
     /// With n².
-    Square,
+    Quadratic,
     /// With n³.
-    Cube,
+    Cubic,
     /// With n, and with n² beside it.
-    LinearAndSquare,
+    LinearPlusQuadratic,
     /// With n, and with n³ beside it.
-    LinearAndCube,
+    LinearPlusCubic,
     /// With m alone.
-    Second,
+    SecondAxis,
     /// With n · m.
     Product,
 }
 
 /// Forms of a run with one axis, from the slowest growth.
-const ONE_AXIS: [Form; 6] = [Form::Flat, Form::Log, Form::Linear, Form::LinearLog, Form::Square, Form::Cube];
+const SINGLE_AXIS_FORMS: [Form; 6] =
+    [Form::Constant, Form::Logarithmic, Form::Linear, Form::Linearithmic, Form::Quadratic, Form::Cubic];
 
 /// Forms of a run with one axis that have two terms.
-const TWO_TERMS: [Form; 2] = [Form::LinearAndSquare, Form::LinearAndCube];
+const TWO_TERM_FORMS: [Form; 2] = [Form::LinearPlusQuadratic, Form::LinearPlusCubic];
 
 /// Forms of a run with two axes, from the slowest growth.
-const TWO_AXES: [Form; 4] = [Form::Flat, Form::Linear, Form::Second, Form::Product];
+const TWO_AXIS_FORMS: [Form; 4] = [Form::Constant, Form::Linear, Form::SecondAxis, Form::Product];
 
 /// A residual up to this multiple of the least one counts as equally good.
-const EQUALLY_GOOD: f64 = 1.1;
+const EQUALLY_GOOD_FACTOR: f64 = 1.1;
 
 /// Residuals below this are not compared: the repeats differ by more.
-const NOISE: f64 = 0.01;
+const NOISE_RESIDUAL: f64 = 0.01;
 
 /// A residual above this means that a single term does not fit.
-const POOR_FIT: f64 = 0.1;
+const MAX_SINGLE_TERM_RESIDUAL: f64 = 0.1;
 
 /// Two terms are taken if they leave at most this fraction of the single term's residual.
-const MUCH_BETTER: f64 = 0.6;
+const MAX_TWO_TERM_RESIDUAL_RATIO: f64 = 0.6;
 
 /// Measured sizes needed to fit two terms.
 const MIN_SIZES_FOR_TWO_TERMS: usize = 5;
 
 /// A form is plausible if its residual is at most this multiple of the best one's.
-const PLAUSIBLE: f64 = 2.0;
+const PLAUSIBLE_FACTOR: f64 = 2.0;
 
 /// Measured values below the largest divided by this are weighted as if they were that large: a value of zero would
 /// weigh infinitely.
-const WEIGHT_RANGE: f64 = 100.0;
+const MAX_WEIGHT_RATIO: f64 = 100.0;
 
 impl Form {
     /// The term that the slope is multiplied by.
     fn term(self, n: f64, m: f64) -> f64 {
         match self {
-            Self::Flat => 0.0,
-            Self::Log => n.ln_1p(),
+            Self::Constant => 0.0,
+            Self::Logarithmic => n.ln_1p(),
             Self::Linear => n,
-            Self::LinearLog => n * n.ln_1p(),
-            Self::Square | Self::LinearAndSquare => n * n,
-            Self::Cube | Self::LinearAndCube => n * n * n,
-            Self::Second => m,
+            Self::Linearithmic => n * n.ln_1p(),
+            Self::Quadratic | Self::LinearPlusQuadratic => n * n,
+            Self::Cubic | Self::LinearPlusCubic => n * n * n,
+            Self::SecondAxis => m,
             Self::Product => n * m,
         }
     }
@@ -82,26 +83,26 @@
     /// The term as the page prints it.
     fn symbol(self) -> &'static str {
         match self {
-            Self::Flat => "flat",
-            Self::Log => "log n",
+            Self::Constant => "flat",
+            Self::Logarithmic => "log n",
             Self::Linear => "n",
-            Self::LinearLog => "n log n",
-            Self::Square | Self::LinearAndSquare => "n²",
-            Self::Cube | Self::LinearAndCube => "n³",
-            Self::Second => "m",
+            Self::Linearithmic => "n log n",
+            Self::Quadratic | Self::LinearPlusQuadratic => "n²",
+            Self::Cubic | Self::LinearPlusCubic => "n³",
+            Self::SecondAxis => "m",
             Self::Product => "n·m",
         }
     }
 
     fn has_two_terms(self) -> bool {
-        TWO_TERMS.contains(&self)
+        TWO_TERM_FORMS.contains(&self)
     }
 
     /// The terms of this form, the constant first.
     fn terms(self) -> Vec<Term> {
         let constant: Term = Box::new(|_| 1.0);
         match self {
-            Self::Flat => vec![constant],
+            Self::Constant => vec![constant],
             _ if self.has_two_terms() => {
                 vec![constant, Box::new(|m| m.size), Box::new(move |m| self.term(m.size, 0.0))]
             }
@@ -140,7 +141,7 @@
         let (constant, linear, slope) = (self.constant, self.linear, self.slope);
         let (percent, symbol) = (100.0 * self.residual, self.form.symbol());
         match self.form {
-            Form::Flat => write!(formatter, "flat: {constant:.3}; {percent:.1}%"),
+            Form::Constant => write!(formatter, "flat: {constant:.3}; {percent:.1}%"),
             form if form.has_two_terms() => write!(
                 formatter,
                 "n and {symbol}: {constant:.3} + {linear:.3e} × n + {slope:.3e} × {symbol}; {percent:.1}%"
@@ -153,26 +154,26 @@
 /// The best form for the measurements of a run.
 pub fn fit(run: &Run) -> Fit {
     let best = best_fit(single_term_forms(run), &run.measurements);
-    if best.residual <= POOR_FIT || !can_have_two_terms(run) {
+    if best.residual <= MAX_SINGLE_TERM_RESIDUAL || !can_have_two_terms(run) {
         return best;
     }
-    let two_terms = best_fit(&TWO_TERMS, &run.measurements);
-    if two_terms.residual <= MUCH_BETTER * best.residual { two_terms } else { best }
+    let two_terms = best_fit(&TWO_TERM_FORMS, &run.measurements);
+    if two_terms.residual <= MAX_TWO_TERM_RESIDUAL_RATIO * best.residual { two_terms } else { best }
 }
 
 /// All forms that fit nearly as well as the best one. Beyond the measured sizes they may differ widely.
 pub fn plausible_fits(run: &Run) -> Vec<Fit> {
-    let limit = (PLAUSIBLE * fit(run).residual).max(NOISE);
+    let limit = (PLAUSIBLE_FACTOR * fit(run).residual).max(NOISE_RESIDUAL);
     let mut forms = single_term_forms(run).to_vec();
     if can_have_two_terms(run) {
-        forms.extend(TWO_TERMS);
+        forms.extend(TWO_TERM_FORMS);
     }
     let fits = forms.into_iter().map(|form| fit_form(form, &run.measurements));
     fits.filter(|fit| fit.residual <= limit).collect()
 }
 
 fn single_term_forms(run: &Run) -> &'static [Form] {
-    if run.second_axis.is_some() { &TWO_AXES } else { &ONE_AXIS }
+    if run.second_axis.is_some() { &TWO_AXIS_FORMS } else { &SINGLE_AXIS_FORMS }
 }
 
 fn can_have_two_terms(run: &Run) -> bool {
@@ -183,14 +184,14 @@
 fn best_fit(forms: &[Form], measurements: &[Measurement]) -> Fit {
     let fits: Vec<Fit> = forms.iter().map(|form| fit_form(*form, measurements)).collect();
     let least = fits.iter().map(|fit| fit.residual).fold(f64::INFINITY, f64::min);
-    let good = fits.iter().find(|fit| fit.residual <= (EQUALLY_GOOD * least).max(NOISE));
+    let good = fits.iter().find(|fit| fit.residual <= (EQUALLY_GOOD_FACTOR * least).max(NOISE_RESIDUAL));
     *good.unwrap_or(&fits[0])
 }
 
 /// The coefficients of one form.
 fn fit_form(form: Form, measurements: &[Measurement]) -> Fit {
     let largest = measurements.iter().map(|m| m.median).fold(0.0, f64::max);
-    let weight = |m: &Measurement| 1.0 / m.median.max(largest / WEIGHT_RANGE).max(f64::MIN_POSITIVE);
+    let weight = |m: &Measurement| 1.0 / m.median.max(largest / MAX_WEIGHT_RATIO).max(f64::MIN_POSITIVE);
     let terms = form.terms();
     // Each term is scaled by its largest value, so that no power of n drowns the others.
     let scale = |term: &Term| measurements.iter().map(term).fold(f64::MIN_POSITIVE, f64::max);
@@ -206,7 +207,7 @@
     let residual = (solution.squared_error / degrees_of_freedom).sqrt();
     let coefficients: Vec<f64> =
         solution.coefficients.iter().zip(&scales).map(|(coefficient, scale)| coefficient / scale).collect();
-    let slope = if form == Form::Flat { 0.0 } else { coefficients[coefficients.len() - 1] };
+    let slope = if form == Form::Constant { 0.0 } else { coefficients[coefficients.len() - 1] };
     let linear = if form.has_two_terms() { coefficients[1] } else { 0.0 };
     Fit { form, constant: coefficients[0], linear, slope, residual }
 }
--- a/crates/capacity-model/src/slopes.rs
+++ b/crates/capacity-model/src/fitted_runs.rs
@@ -14,9 +14,9 @@
 }
 
 /// Fitted runs by name.
-pub struct Slopes(BTreeMap<String, FittedRun>);
+pub struct FittedRuns(BTreeMap<String, FittedRun>);
 
-impl Slopes {
+impl FittedRuns {
     /// Fits every run.
     pub fn new(runs: BTreeMap<String, Run>) -> Self {
         let fitted = |(name, run): (String, Run)| {
--- a/crates/capacity-model/src/least_squares.rs
+++ b/crates/capacity-model/src/least_squares.rs
@@ -1,7 +1,7 @@
 //! Linear least squares with coefficients that are not negative, for a handful of terms.
 
 /// Below this a pivot counts as zero: the measurements cannot tell the terms apart.
-const SINGULAR: f64 = 1e-12;
+const MIN_PIVOT: f64 = 1e-12;
 
 /// Coefficients of a fit and how far it is off.
 pub(crate) struct Solution {
@@ -60,7 +60,7 @@
     for n in 0..count {
         let pivot = (n..count).max_by(|a, b| equations[*a][n].abs().total_cmp(&equations[*b][n].abs()))?;
         equations.swap(n, pivot);
-        if equations[n][n].abs() < SINGULAR {
+        if equations[n][n].abs() < MIN_PIVOT {
             return None;
         }
         let normalized: Vec<f64> = equations[n].iter().map(|x| x / equations[n][n]).collect();
--- a/crates/capacity-model/src/number.rs
+++ b/crates/capacity-model/src/number.rs
@@ -4,7 +4,7 @@
 const SIGNIFICANT_DIGITS: i32 = 3;
 
 /// Digits between two separators of thousands.
-const GROUP: usize = 3;
+const DIGITS_PER_GROUP: usize = 3;
 
 /// Formats with three significant digits and separators of thousands; `-` for what is not finite.
 pub fn number(value: f64) -> String {
@@ -29,7 +29,7 @@
 fn group_thousands(digits: &str) -> String {
     let mut grouped = String::new();
     for (index, digit) in digits.chars().enumerate() {
-        if index > 0 && (digits.len() - index).is_multiple_of(GROUP) {
+        if index > 0 && (digits.len() - index).is_multiple_of(DIGITS_PER_GROUP) {
             grouped.push(',');
         }
         grouped.push(digit);
--- a/crates/capacity-model/src/page/assumption_table.rs
+++ b/crates/capacity-model/src/page/assumption_table.rs
@@ -1,6 +1,7 @@
 //! The section on the assumptions, and how the result moves with each.
 
 use crate::assumptions::{Assumption, Assumptions};
+use crate::fitted_runs::FittedRuns;
 use crate::number::number;
 use crate::popularity::{Popularity, min_exponent};
 use crate::projection::Projection;
@@ -8,27 +9,30 @@
 use crate::roles::projections;
 use crate::scale::ScaleRun;
 use crate::shortfalls::shortfalls;
-use crate::slopes::Slopes;
 
-const HEAD: &str = "| parameter | value | reason | half | double |\n| --- | --- | --- | --- | --- |\n";
+const TABLE_HEAD: &str = "| parameter | value | reason | half | double |\n| --- | --- | --- | --- | --- |\n";
 
 /// Relative changes below this are rounding errors.
-const NEGLIGIBLE: f64 = 1e-6;
+const MIN_RELATIVE_CHANGE: f64 = 1e-6;
 
 /// A function called less often than this, in calls per second, is rarely called: once a minute.
-const RARE_RATE: f64 = 1.0 / 60.0;
+const RARE_CALLS_PER_SECOND: f64 = 1.0 / 60.0;
 
 /// The exponent that the dispatcher is measured with beside the assumed one.
 const FLAT_EXPONENT: f64 = 1.1;
 
 /// Workers in the measurement of known functions that the section quotes.
-const QUOTED_WORKERS: f64 = 9_100.0;
-
-pub(super) fn section(assumptions: &Assumptions, slopes: &Slopes, scale_runs: &[ScaleRun]) -> String {
-    let sensitivity = Sensitivity::new(assumptions, slopes, scale_runs);
+const MEASURED_WORKERS: f64 = 9_100.0;
+
+pub(super) fn section(
+    assumptions: &Assumptions,
+    fitted_runs: &FittedRuns,
+    scale_runs: &[ScaleRun],
+) -> String {
+    let sensitivity = Sensitivity::new(assumptions, fitted_runs, scale_runs);
     let rows = assumptions.parameters.iter().map(|(key, assumption)| sensitivity.row(key, assumption));
     let introduction = introduction(assumptions, &sensitivity);
-    [introduction, HEAD.into(), rows.collect(), popularity(assumptions, slopes)].concat()
+    [introduction, TABLE_HEAD.into(), rows.collect(), popularity(assumptions, fitted_runs)].concat()
 }
 
 fn introduction(assumptions: &Assumptions, sensitivity: &Sensitivity<'_>) -> String {
@@ -43,34 +47,34 @@
         number(target.calls_per_second),
         target.regions,
         target.zones,
-        sensitivity.limits(),
-        sensitivity.missed(&sensitivity.projections, assumptions),
+        sensitivity.limit_count(),
+        sensitivity.exceeded_count(&sensitivity.projections, assumptions),
     )
 }
 
 /// How the projections move with the assumptions.
 struct Sensitivity<'a> {
     assumptions: &'a Assumptions,
-    slopes: &'a Slopes,
+    fitted_runs: &'a FittedRuns,
     scale_runs: &'a [ScaleRun],
     projections: Vec<Projection>,
 }
 
 impl<'a> Sensitivity<'a> {
-    fn new(assumptions: &'a Assumptions, slopes: &'a Slopes, scale_runs: &'a [ScaleRun]) -> Self {
-        Self { assumptions, slopes, scale_runs, projections: projections(assumptions, slopes) }
+    fn new(assumptions: &'a Assumptions, fitted_runs: &'a FittedRuns, scale_runs: &'a [ScaleRun]) -> Self {
+        Self { assumptions, fitted_runs, scale_runs, projections: projections(assumptions, fitted_runs) }
     }
 
     /// Limits in all, kept or missed.
-    fn limits(&self) -> usize {
+    fn limit_count(&self) -> usize {
         let limited = self.projections.iter().filter(|projection| projection.limit.is_some()).count();
         limited + shortfalls(self.assumptions, self.scale_runs).len()
     }
 
     /// Limits that are missed under other assumptions.
-    fn missed(&self, projections: &[Projection], assumptions: &Assumptions) -> usize {
-        let missed = projections.iter().filter(|projection| projection.misses()).count();
-        missed + shortfalls(assumptions, self.scale_runs).len()
+    fn exceeded_count(&self, projections: &[Projection], assumptions: &Assumptions) -> usize {
+        let exceeded = projections.iter().filter(|projection| projection.exceeds_limit()).count();
+        exceeded + shortfalls(assumptions, self.scale_runs).len()
     }
 
     fn row(&self, key: &str, assumption: &Assumption) -> String {
@@ -88,11 +92,11 @@
     /// What changes if a parameter is multiplied by `factor`.
     fn effect(&self, key: &str, factor: f64) -> String {
         let assumptions = self.assumptions.with_scaled(key, factor);
-        let projections = projections(&assumptions, self.slopes);
+        let projections = projections(&assumptions, self.fitted_runs);
         let largest = largest_change(&self.projections, &projections);
         format!(
             "{} exceeded; {}",
-            self.missed(&projections, &assumptions),
+            self.exceeded_count(&projections, &assumptions),
             largest.unwrap_or_else(|| "nothing changes".into())
         )
     }
@@ -113,7 +117,7 @@
         let ratio = against_limit(after) / against_limit(before);
         // A limit that falls to zero or below counts as the largest change of all.
         let magnitude = if ratio <= 0.0 { f64::MAX } else { ratio.ln().abs() };
-        let moves = magnitude.is_finite() && magnitude > NEGLIGIBLE;
+        let moves = magnitude.is_finite() && magnitude > MIN_RELATIVE_CHANGE;
         moves.then_some(Self { before, after, magnitude })
     }
 
@@ -124,7 +128,7 @@
     fn describe(&self) -> String {
         let (before, after) = (self.before, self.after);
         let (description, unit) = (&before.description, before.unit);
-        if (before.value - after.value).abs() > before.value * NEGLIGIBLE {
+        if (before.value - after.value).abs() > before.value * MIN_RELATIVE_CHANGE {
             return format!("{description}: {} to {} {unit}", number(before.value), number(after.value));
         }
         let limit = |projection: &Projection| projection.limit.map_or(String::new(), number);
@@ -142,14 +146,14 @@
 }
 
 /// The paragraph on the distribution of calls over functions.
-fn popularity(assumptions: &Assumptions, slopes: &Slopes) -> String {
+fn popularity(assumptions: &Assumptions, fitted_runs: &FittedRuns) -> String {
     let target = &assumptions.target;
     let assumed = GatewayCalls::at_target(assumptions);
     let flat = GatewayCalls { zipf_exponent: FLAT_EXPONENT, ..assumed };
     let zipf = assumed.zipf_exponent;
     let distribution = |exponent: f64| Popularity::new(target.functions, exponent);
     let rarely_called = |exponent: f64| {
-        let often = distribution(exponent).functions_above(RARE_RATE / target.calls_per_second);
+        let often = distribution(exponent).functions_above(RARE_CALLS_PER_SECOND / target.calls_per_second);
         number(target.functions - often as f64)
     };
     let first_percent = |exponent: f64| 100.0 * distribution(exponent).fraction(1.0);
@@ -158,7 +162,7 @@
          minute. With {zipf} these are {} of {}, and the most popular function receives {:.0}% of all calls. \
          With 1.1, which the dispatcher is measured with as well, these are {}, and the most popular receives \
          {:.0}%. A gateway then holds state of {} functions at a time with {zipf}, and of {} with 1.1 ({}).\n",
-        min_exponent(target.functions, target.calls_per_second, RARE_RATE),
+        min_exponent(target.functions, target.calls_per_second, RARE_CALLS_PER_SECOND),
         rarely_called(zipf),
         number(target.functions),
         first_percent(zipf),
@@ -166,14 +170,14 @@
         first_percent(FLAT_EXPONENT),
         number(assumed.known_functions()),
         number(flat.known_functions()),
-        measured_known_functions(slopes),
+        measured_known_functions(fitted_runs),
     )
 }
 
 /// The measured number of known functions, to compare the calculated one with.
-fn measured_known_functions(slopes: &Slopes) -> String {
-    let measured = slopes.get("functions-known-flat").and_then(|fitted| {
-        fitted.run.measurements.iter().find(|measurement| measurement.size == QUOTED_WORKERS)
+fn measured_known_functions(fitted_runs: &FittedRuns) -> String {
+    let measured = fitted_runs.get("functions-known-flat").and_then(|fitted| {
+        fitted.run.measurements.iter().find(|measurement| measurement.size == MEASURED_WORKERS)
     });
     measured.map_or("not measured".into(), |measurement| {
         format!("measured at 145 calls a second and 60 s: {}", number(measurement.median))
--- a/crates/capacity-model/src/page/mod.rs
+++ b/crates/capacity-model/src/page/mod.rs
@@ -4,27 +4,27 @@
 mod assumption_table;
 mod cold_start;
 mod role_tables;
+mod run_table;
 mod scale_tables;
 mod shortfall_tables;
-mod slope_table;
 
 use crate::assumptions::Assumptions;
 use crate::error::CapacityError;
+use crate::fitted_runs::FittedRuns;
 use crate::number::number;
-use crate::projection::MAX_SIZE;
+use crate::projection::MAX_SIZE_FACTOR;
 use crate::roles::projections;
 use crate::run;
 use crate::scale;
 use crate::shortfalls::{rank, shortfalls};
-use crate::slopes::Slopes;
 use std::path::Path;
 
 /// The line after which the generated part begins.
-pub const BEGIN: &str =
+pub const BEGIN_MARKER: &str =
     "<!-- made by `milletpath capacity --page`; nothing between these marks is written by hand -->";
 
 /// The line before which the generated part ends.
-pub const END: &str = "<!-- end of what is made -->";
+pub const END_MARKER: &str = "<!-- end of what is made -->";
 
 /// File name of the assumptions in the folder of runs.
 pub const ASSUMPTIONS_FILE: &str = "assumptions.json";
@@ -35,18 +35,18 @@
 /// The assumptions, a run or a scale test cannot be read or is invalid.
 pub fn tables(folder: &Path) -> Result<String, CapacityError> {
     let assumptions = Assumptions::read(&folder.join(ASSUMPTIONS_FILE))?;
-    let slopes = Slopes::new(run::read_all(folder)?);
+    let fitted_runs = FittedRuns::new(run::read_all(folder)?);
     let scale_runs = scale::read_all(folder)?;
-    let projections = projections(&assumptions, &slopes);
+    let projections = projections(&assumptions, &fitted_runs);
     let ranked = rank(&projections, &shortfalls(&assumptions, &scale_runs));
     let sections = [
-        assumption_table::section(&assumptions, &slopes, &scale_runs),
+        assumption_table::section(&assumptions, &fitted_runs, &scale_runs),
         role_tables::sections(&projections),
         cold_start::section(&assumptions, &projections),
         scale_tables::scale_runs(&assumptions.target, &scale_runs),
         scale_tables::config_changes(&assumptions.target, &scale_runs),
         shortfall_tables::section(&projections, &ranked),
-        slope_table::section(&slopes),
+        run_table::section(&fitted_runs),
     ];
     Ok(sections.join("\n"))
 }
@@ -56,9 +56,12 @@
 /// # Errors
 /// The page lacks one of the marks.
 pub fn rewrite(page: &str, tables: &str) -> Result<String, CapacityError> {
-    let begin = page.find(BEGIN).ok_or(CapacityError::MissingBeginMark { mark: BEGIN })?;
-    let end = page.find(END).filter(|end| *end > begin).ok_or(CapacityError::MissingEndMark { mark: END })?;
-    Ok(format!("{}{BEGIN}\n\n{tables}\n{}", &page[..begin], &page[end..]))
+    let begin = page.find(BEGIN_MARKER).ok_or(CapacityError::MissingBeginMarker { marker: BEGIN_MARKER })?;
+    let end = page
+        .find(END_MARKER)
+        .filter(|end| *end > begin)
+        .ok_or(CapacityError::MissingEndMarker { marker: END_MARKER })?;
+    Ok(format!("{}{BEGIN_MARKER}\n\n{tables}\n{}", &page[..begin], &page[end..]))
 }
 
 /// A breaking point as the page prints it.
@@ -69,6 +72,6 @@
         }
         Some(0.0) => "any size".into(),
         Some(size) => number(size),
-        None => format!("over {MAX_SIZE}"),
+        None => format!("over {MAX_SIZE_FACTOR}"),
     }
 }
--- a/crates/capacity-model/src/page/role_tables.rs
+++ b/crates/capacity-model/src/page/role_tables.rs
@@ -5,7 +5,7 @@
 use crate::projection::Projection;
 use crate::quantity::Role;
 
-const HEAD: &str = "| resource | quantity | at the target size | limit | verdict | exceeded at | mechanism | source | runs |\n\
+const TABLE_HEAD: &str = "| resource | quantity | at the target size | limit | verdict | exceeded at | mechanism | source | runs |\n\
                     | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
 
 /// Title and introduction of a role's section.
@@ -44,14 +44,19 @@
 pub(super) fn sections(projections: &[Projection]) -> String {
     let section = |section: &Section| {
         let rows = projections.iter().filter(|projection| projection.role == section.role).map(row);
-        format!("## {}\n\n{}\n\n{HEAD}{}", section.title, section.introduction, rows.collect::<String>())
+        format!(
+            "## {}\n\n{}\n\n{TABLE_HEAD}{}",
+            section.title,
+            section.introduction,
+            rows.collect::<String>()
+        )
     };
     SECTIONS.iter().map(section).collect::<Vec<_>>().join("\n")
 }
 
 fn row(projection: &Projection) -> String {
     let runs = projection.runs.iter().map(|run| format!("[{run}](capacity/{run}.json)"));
-    let has_breaking_point = projection.limit.is_some() && !projection.is_not_run();
+    let has_breaking_point = projection.limit.is_some() && !projection.has_missing_runs();
     let breaking_point = if has_breaking_point {
         breaking_point_text(projection.breaking_point, projection.breaks_below_measured)
     } else {
@@ -73,13 +78,13 @@
 
 /// Whether the limit is kept, and whether other plausible forms agree.
 fn verdict(projection: &Projection) -> &'static str {
-    if projection.is_not_run() {
+    if projection.has_missing_runs() {
         return "not run";
     }
     if projection.limit.is_none() {
         return "";
     }
-    match (projection.misses(), projection.is_uncertain()) {
+    match (projection.exceeds_limit(), projection.is_uncertain()) {
         (true, true) => "**MISSES**, by other forms it would hold",
         (true, false) => "**MISSES**",
         (false, true) => "holds, by other forms it **MISSES**",
--- a/crates/capacity-model/src/page/slope_table.rs
+++ b/crates/capacity-model/src/page/run_table.rs
@@ -1,16 +1,16 @@
 //! The table of all slopes: what was measured, and the fitted form.
 
+use crate::fitted_runs::{FittedRun, FittedRuns};
 use crate::number::number;
 use crate::run::Measurement;
-use crate::slopes::{FittedRun, Slopes};
 
-const HEAD: &str = "## Slopes\n\nFor each run: sizes with the median of the repeats (the upper one of an even number) and, in \
+const TABLE_HEAD: &str = "## Slopes\n\nFor each run: sizes with the median of the repeats (the upper one of an even number) and, in \
                     brackets, the least and the greatest; the fitted form with constant, slope and relative \
                     residual.\n\n| run | quantity | axis: values | form; residual | fixed | method, date, cores | \
                     command |\n| --- | --- | --- | --- | --- | --- | --- |\n";
 
-pub(super) fn section(slopes: &Slopes) -> String {
-    HEAD.to_owned() + &slopes.iter().map(row).collect::<String>()
+pub(super) fn section(fitted_runs: &FittedRuns) -> String {
+    TABLE_HEAD.to_owned() + &fitted_runs.iter().map(row).collect::<String>()
 }
 
 fn row(fitted: &FittedRun) -> String {
--- a/crates/capacity-model/src/page/scale_tables.rs
+++ b/crates/capacity-model/src/page/scale_tables.rs
@@ -8,7 +8,7 @@
 const KILOBYTES_PER_BYTE: f64 = 1e-3;
 const PERCENT: f64 = 100.0;
 
-const MISSES: &str = "**MISSES**";
+const EXCEEDED: &str = "**MISSES**";
 
 const SCALE_RUNS_TITLE: &str = "## Scale tests\n\n";
 
@@ -43,8 +43,8 @@
     let control = |key: &str, factor: f64| distribution(run.control.get(key), factor);
     let with_verdict = |key: &str, factor: f64, limit: f64| {
         let p99 = run.control.get(key).and_then(|distribution| distribution.p99);
-        let misses = p99.is_some_and(|p99| p99 * factor > limit);
-        control(key, factor) + &miss_suffix(misses)
+        let exceeds_limit = p99.is_some_and(|p99| p99 * factor > limit);
+        control(key, factor) + &exceeded_suffix(exceeds_limit)
     };
     let known = |event: &str| distribution(run.known.get(event), 1.0);
     let cells = [
@@ -55,7 +55,7 @@
         with_verdict("cpu", PERCENT, target.cpu_percent),
         with_verdict("memory_mb", 1.0, target.memory_megabytes),
         control("bytes_in", KILOBYTES_PER_BYTE),
-        control("bytes_out", KILOBYTES_PER_BYTE) + &miss_suffix(exceeds_traffic(target, run)),
+        control("bytes_out", KILOBYTES_PER_BYTE) + &exceeded_suffix(exceeds_traffic(target, run)),
         known("death"),
         known("join"),
         known("change"),
@@ -70,8 +70,8 @@
     format!("[{}](capacity/{})", run.file_stem(), run.file)
 }
 
-fn miss_suffix(misses: bool) -> String {
-    if misses { format!(" {MISSES}") } else { String::new() }
+fn exceeded_suffix(exceeds_limit: bool) -> String {
+    if exceeds_limit { format!(" {EXCEEDED}") } else { String::new() }
 }
 
 /// Whether the 99th percentiles of sent and received bytes exceed the limit together.
@@ -129,13 +129,15 @@
 fn config_change_row(target: &Target, run: &ScaleRun) -> String {
     let propagation = run.change_propagation();
     let verdict = match propagation {
-        Some(propagation) if propagation.is_within(target.config_propagation_seconds) => "holds".into(),
-        Some(_) => MISSES.into(),
-        None if run.ran("changes") && run.is_saturated() => format!("{MISSES}, on a saturated machine"),
-        None if run.ran("changes") => MISSES.into(),
+        Some(propagation) if propagation.reached_all_within(target.config_propagation_seconds) => {
+            "holds".into()
+        }
+        Some(_) => EXCEEDED.into(),
+        None if run.enabled("changes") && run.is_saturated() => format!("{EXCEEDED}, on a saturated machine"),
+        None if run.enabled("changes") => EXCEEDED.into(),
         None => String::new(),
     };
-    let has_mechanism = propagation.is_some() || run.ran("changes");
+    let has_mechanism = propagation.is_some() || run.enabled("changes");
     let control = |key: &str, factor: f64| distribution(run.control.get(key), factor);
     let cells = [
         number(run.gateways as f64),
--- a/crates/capacity-model/src/popularity.rs
+++ b/crates/capacity-model/src/popularity.rs
@@ -1,10 +1,10 @@
 //! The distribution of calls over functions by Zipf's law.
 
 /// Functions that are summed one by one; those of higher rank are summed in blocks.
-const SINGLE_RANKS: usize = 1_000;
+const MAX_SINGLE_RANKS: usize = 1_000;
 
 /// A block's width is its first rank divided by this.
-const RANKS_PER_BLOCK_STEP: usize = 100;
+const BLOCK_WIDTH_DIVISOR: usize = 100;
 
 /// A Zipf distribution over functions, ranked from the most called.
 pub struct Popularity {
@@ -24,11 +24,11 @@
 
     /// The sum of `term` over the fractions of all functions. Blocks of ranks count by the rank in their middle.
     fn sum(&self, term: impl Fn(f64) -> f64) -> f64 {
-        let last_single = self.functions.min(SINGLE_RANKS);
+        let last_single = self.functions.min(MAX_SINGLE_RANKS);
         let single: f64 = (1..=last_single).map(|rank| term(self.fraction(rank as f64))).sum();
-        let (mut first, mut blocks) = (SINGLE_RANKS + 1, 0.0);
+        let (mut first, mut blocks) = (MAX_SINGLE_RANKS + 1, 0.0);
         while first <= self.functions {
-            let width = (first / RANKS_PER_BLOCK_STEP).min(self.functions + 1 - first);
+            let width = (first / BLOCK_WIDTH_DIVISOR).min(self.functions + 1 - first);
             let middle = first as f64 + (width as f64 - 1.0) / 2.0;
             blocks += width as f64 * term(self.fraction(middle));
             first += width;
--- a/crates/capacity-model/src/projection.rs
+++ b/crates/capacity-model/src/projection.rs
@@ -1,19 +1,19 @@
 //! Projects a quantity to the target size, and finds the fraction of that size at which it exceeds its limit.
 
-pub use crate::breaking_point::MAX_SIZE;
+pub use crate::breaking_point::MAX_SIZE_FACTOR;
 use crate::breaking_point::breaking_point;
 use crate::fit::plausible_fits;
+use crate::fitted_runs::{FittedRun, FittedRuns};
 use crate::number::number;
 use crate::quantity::{Quantity, Resource, Role, RunInput};
 use crate::run::Run;
-use crate::slopes::{FittedRun, Slopes};
 use std::fmt;
 
 /// A size within this fraction of the target counts as measured at the target.
-const SAME_SIZE: f64 = 1.0 / 50.0;
+const SIZE_TOLERANCE: f64 = 1.0 / 50.0;
 
 /// A range narrower than this fraction of its upper end is not worth printing.
-const NEGLIGIBLE_RANGE: f64 = 0.01;
+const MIN_PRINTED_RANGE: f64 = 0.01;
 
 /// Where a projected value comes from.
 #[derive(Clone, Debug, PartialEq)]
@@ -25,7 +25,7 @@
     /// By calculation, without a run.
     Calculated,
     /// These runs are missing.
-    NotRun(Vec<&'static str>),
+    MissingRuns(Vec<&'static str>),
 }
 
 impl fmt::Display for Source {
@@ -37,7 +37,7 @@
                 write!(formatter, "EXTRAPOLATED to {ratio:.2} times the largest measured size")
             }
             Self::Calculated => formatter.write_str("calculated"),
-            Self::NotRun(runs) => write!(formatter, "not run: {}", runs.join(", ")),
+            Self::MissingRuns(runs) => write!(formatter, "not run: {}", runs.join(", ")),
         }
     }
 }
@@ -72,7 +72,7 @@
     pub source: Source,
     /// The runs that it is computed from.
     pub runs: Vec<&'static str>,
-    /// The fraction of the target size at which the limit is exceeded; `None` if it is not up to [`MAX_SIZE`].
+    /// The fraction of the target size at which the limit is exceeded; `None` if it is not up to [`MAX_SIZE_FACTOR`].
     pub breaking_point: Option<f64>,
     /// Whether the breaking point lies below the smallest measured size: the form is extrapolated downwards.
     pub breaks_below_measured: bool,
@@ -82,7 +82,7 @@
 
 impl Projection {
     /// Whether the value exceeds its limit.
-    pub fn misses(&self) -> bool {
+    pub fn exceeds_limit(&self) -> bool {
         self.limit.is_some_and(|limit| self.value > limit)
     }
 
@@ -94,27 +94,28 @@
 
     /// Where the value comes from and what other plausible forms give, as the page prints it.
     pub fn provenance(&self) -> String {
-        let is_wide = |range: &ValueRange| range.high - range.low > NEGLIGIBLE_RANGE * range.high;
+        let is_wide = |range: &ValueRange| range.high - range.low > MIN_PRINTED_RANGE * range.high;
         let Some(range) = self.range.filter(is_wide) else { return self.source.to_string() };
         let (low, high) = (number(range.low), number(range.high));
         format!("{}; {low} to {high} by other forms that fit nearly as well", self.source)
     }
 
     /// Whether a run that the value needs is missing.
-    pub fn is_not_run(&self) -> bool {
-        matches!(self.source, Source::NotRun(_))
+    pub fn has_missing_runs(&self) -> bool {
+        matches!(self.source, Source::MissingRuns(_))
     }
 }
 
 /// Projects a quantity to the target size.
-pub fn project(quantity: &Quantity, slopes: &Slopes) -> Projection {
+pub fn project(quantity: &Quantity, fitted_runs: &FittedRuns) -> Projection {
     let runs: Vec<&'static str> = quantity.inputs.iter().map(|input| input.run).collect();
-    let missing: Vec<&'static str> = runs.iter().copied().filter(|run| slopes.get(run).is_none()).collect();
+    let missing: Vec<&'static str> =
+        runs.iter().copied().filter(|run| fitted_runs.get(run).is_none()).collect();
     let projection = Projection {
         role: quantity.role,
         resource: quantity.resource,
         description: quantity.description.clone(),
-        mechanism: mechanism(quantity, slopes),
+        mechanism: mechanism(quantity, fitted_runs),
         value: f64::NAN,
         unit: quantity.unit,
         limit: quantity.limit,
@@ -125,16 +126,16 @@
         range: None,
     };
     if missing.is_empty() {
-        Evaluation::new(quantity, slopes).complete(projection)
+        Evaluation::new(quantity, fitted_runs).complete(projection)
     } else {
-        Projection { source: Source::NotRun(missing), ..projection }
+        Projection { source: Source::MissingRuns(missing), ..projection }
     }
 }
 
 /// The quantity's own mechanism, else that of its first run.
-fn mechanism(quantity: &Quantity, slopes: &Slopes) -> String {
+fn mechanism(quantity: &Quantity, fitted_runs: &FittedRuns) -> String {
     let of_first_run = || {
-        let fitted = quantity.inputs.first().and_then(|input| slopes.get(input.run))?;
+        let fitted = quantity.inputs.first().and_then(|input| fitted_runs.get(input.run))?;
         Some(fitted.run.mechanism.clone())
     };
     quantity.mechanism.clone().or_else(of_first_run).unwrap_or_default()
@@ -186,7 +187,7 @@
     }
 
     /// How far beyond the largest measured size the target lies; `None` if it was measured.
-    fn extrapolation(&self) -> Option<f64> {
+    fn extrapolation_ratio(&self) -> Option<f64> {
         match self.measured {
             Some(_) => None,
             None => Some(self.position.size / self.run.run.max_size()),
@@ -196,7 +197,7 @@
 
 /// The median of the measurement at a place, if there is one.
 fn measured_at(run: &Run, position: &RunInput) -> Option<f64> {
-    let is_near = |measured: f64, target: f64| (measured - target).abs() <= target * SAME_SIZE;
+    let is_near = |measured: f64, target: f64| (measured - target).abs() <= target * SIZE_TOLERANCE;
     let measurement = run.measurements.iter().find(|m| {
         is_near(m.size, position.size) && m.second_size.is_none_or(|size| is_near(size, position.second_size))
     });
@@ -210,8 +211,8 @@
 }
 
 impl<'a> Evaluation<'a> {
-    fn new(quantity: &'a Quantity, slopes: &'a Slopes) -> Self {
-        let evaluated = |input: &RunInput| Some(EvaluatedInput::new(slopes.get(input.run)?, *input));
+    fn new(quantity: &'a Quantity, fitted_runs: &'a FittedRuns) -> Self {
+        let evaluated = |input: &RunInput| Some(EvaluatedInput::new(fitted_runs.get(input.run)?, *input));
         Self { quantity, inputs: quantity.inputs.iter().filter_map(evaluated).collect() }
     }
 
@@ -222,7 +223,7 @@
             range: self.range(),
             ..projection
         };
-        let breaking_point = self.breaking_point(projection.misses());
+        let breaking_point = self.breaking_point(projection.exceeds_limit());
         Projection {
             breaking_point,
             breaks_below_measured: breaking_point.is_some_and(|size| self.is_below_measured(size)),
@@ -237,17 +238,19 @@
     }
 
     fn source(&self) -> Source {
-        let extrapolation = self.inputs.iter().filter_map(EvaluatedInput::extrapolation).reduce(f64::max);
-        match extrapolation {
+        let extrapolation_ratio =
+            self.inputs.iter().filter_map(EvaluatedInput::extrapolation_ratio).reduce(f64::max);
+        match extrapolation_ratio {
             _ if self.inputs.is_empty() => Source::Calculated,
             None => Source::Measured,
-            Some(extrapolation) => Source::Fitted(extrapolation),
+            Some(extrapolation_ratio) => Source::Fitted(extrapolation_ratio),
         }
     }
 
     /// The range of an extrapolated value.
     fn range(&self) -> Option<ValueRange> {
-        let is_extrapolated = matches!(self.source(), Source::Fitted(extrapolation) if extrapolation > 1.0);
+        let is_extrapolated =
+            matches!(self.source(), Source::Fitted(extrapolation_ratio) if extrapolation_ratio > 1.0);
         is_extrapolated.then(|| ValueRange {
             low: self.evaluate(1.0, |input| input.extreme_value(f64::min)),
             high: self.evaluate(1.0, |input| input.extreme_value(f64::max)),
@@ -256,17 +259,17 @@
 
     /// The fraction of the target size at which the limit is exceeded. Where the fitted form contradicts what was
     /// measured at the target itself, the measurement wins: the form is replaced by interpolation.
-    fn breaking_point(&self, misses: bool) -> Option<f64> {
+    fn breaking_point(&self, exceeds_limit: bool) -> Option<f64> {
         let limit = self.quantity.limit?;
         let fitted = |size: f64| self.evaluate(size, |input| input.fitted_value(size));
         let by_form = breaking_point(&fitted, limit);
-        let form_keeps_limit = by_form.is_none_or(|size| size >= 1.0);
-        if misses != form_keeps_limit {
+        let form_within_limit = by_form.is_none_or(|size| size >= 1.0);
+        if exceeds_limit != form_within_limit {
             return by_form;
         }
         let interpolated = |size: f64| self.evaluate(size, |input| input.interpolated_value(size));
         let by_measurement = breaking_point(&interpolated, limit);
-        if misses {
+        if exceeds_limit {
             Some(by_measurement.unwrap_or(1.0).min(1.0))
         } else {
             by_measurement.map(|size| size.max(1.0))
--- a/crates/capacity-model/src/roles/gateway/cpu.rs
+++ b/crates/capacity-model/src/roles/gateway/cpu.rs
@@ -2,9 +2,9 @@
 
 use super::{IDLE_PROOF_CHECKS_PER_SECOND, measured};
 use crate::assumptions::{Assumptions, Parameter};
+use crate::fitted_runs::FittedRuns;
 use crate::quantity::{Quantity, Resource, RunInput};
 use crate::roles::{PERCENT_OF_CORE, PERCENT_PER_MILLISECOND};
-use crate::slopes::Slopes;
 
 /// Checks of the quorum proof per second in the measured fleet.
 const MEASURED_PROOF_CHECKS_PER_SECOND: f64 = 10.0;
@@ -12,10 +12,10 @@
 /// Bytes of a membership datagram in a large fleet, which carries the assertions of thirty other gateways.
 const DATAGRAM_BYTES: f64 = 700.0;
 
-pub(super) fn quantities(assumptions: &Assumptions, slopes: &Slopes) -> Vec<Quantity> {
-    let mut quantities = control(assumptions, slopes);
+pub(super) fn quantities(assumptions: &Assumptions, fitted_runs: &FittedRuns) -> Vec<Quantity> {
+    let mut quantities = control(assumptions, fitted_runs);
     quantities.extend(decisions(assumptions));
-    quantities.extend(storms(assumptions));
+    quantities.extend(start_and_recovery(assumptions));
     quantities
 }
 
@@ -29,11 +29,11 @@
 }
 
 /// Control in a settled fleet, each mechanism and their sum.
-fn control(assumptions: &Assumptions, slopes: &Slopes) -> Vec<Quantity> {
+fn control(assumptions: &Assumptions, fitted_runs: &FittedRuns) -> Vec<Quantity> {
     let (gateways, workers) = (assumptions.target.gateways, assumptions.workers());
     let membership =
         from_milliseconds("membership datagrams and quorum proof, settled", "peers-cpu", gateways);
-    let opening = datagram_opening(gateways, slopes);
+    let opening = datagram_opening(gateways, fitted_runs);
     let proof_checks = proof_checks(gateways);
     let usage_reports = from_milliseconds("usage reports", "counts-cpu", gateways);
     let worker_budgets = from_milliseconds(
@@ -59,8 +59,8 @@
 }
 
 /// Authenticating and decoding the datagrams that arrive. Their size does not depend on that of the fleet.
-fn datagram_opening(gateways: f64, slopes: &Slopes) -> Quantity {
-    let microseconds = slopes.value_or_zero("letter-open", DATAGRAM_BYTES);
+fn datagram_opening(gateways: f64, fitted_runs: &FittedRuns) -> Quantity {
+    let microseconds = fitted_runs.value_or_zero("letter-open", DATAGRAM_BYTES);
     percent("membership datagrams received: authenticated and decoded", "letter-open", DATAGRAM_BYTES)
         .with_inputs(vec![
             RunInput::new("peers-letters", gateways),
@@ -105,8 +105,8 @@
 }
 
 /// Control while the fleet starts, and while the workers of a zone return.
-fn storms(assumptions: &Assumptions) -> Vec<Quantity> {
-    let limit = assumptions.value(Parameter::StormCpuPercent);
+fn start_and_recovery(assumptions: &Assumptions) -> Vec<Quantity> {
+    let limit = assumptions.value(Parameter::RecoveryCpuPercent);
     let starting = from_milliseconds(
         "membership datagrams and quorum proof, first 10 s after all gateways started",
         "peers-cpu-starting",
--- a/crates/capacity-model/src/roles/gateway/latency.rs
+++ b/crates/capacity-model/src/roles/gateway/latency.rs
@@ -2,17 +2,17 @@
 
 use super::{IDLE_PROOF_CHECKS_PER_SECOND, measured};
 use crate::assumptions::{Assumptions, Parameter};
+use crate::fitted_runs::FittedRuns;
 use crate::quantity::{Quantity, Resource};
-use crate::slopes::Slopes;
 
 /// Round trip to the farthest region in which workers run, in milliseconds.
 const FARTHEST_ROUND_TRIP_MS: f64 = 150.0;
 
 /// All but the cold start.
-pub(super) fn quantities(assumptions: &Assumptions, slopes: &Slopes) -> Vec<Quantity> {
+pub(super) fn quantities(assumptions: &Assumptions, fitted_runs: &FittedRuns) -> Vec<Quantity> {
     let mut quantities = vec![config_propagation(assumptions)];
     quantities.extend(stalls(assumptions));
-    quantities.push(slowest_proof_check(assumptions, slopes));
+    quantities.push(slowest_proof_check(assumptions, fitted_runs));
     quantities.extend(ages(assumptions));
     quantities
 }
@@ -48,9 +48,10 @@
 
 /// A check of the quorum proof where all gateways assert different views. The membership link falls behind where it
 /// takes longer than the time between two checks.
-fn slowest_proof_check(assumptions: &Assumptions, slopes: &Slopes) -> Quantity {
+fn slowest_proof_check(assumptions: &Assumptions, fitted_runs: &FittedRuns) -> Quantity {
     let gateways = assumptions.target.gateways;
-    let checks_per_second = slopes.value_or_zero("peers-letters", gateways) + IDLE_PROOF_CHECKS_PER_SECOND;
+    let checks_per_second =
+        fitted_runs.value_or_zero("peers-letters", gateways) + IDLE_PROOF_CHECKS_PER_SECOND;
     milliseconds(
         "one check of the quorum proof where all assertions differ: the worst case of a start",
         "proof-starting",
--- a/crates/capacity-model/src/roles/gateway/messages.rs
+++ b/crates/capacity-model/src/roles/gateway/messages.rs
@@ -6,15 +6,15 @@
 use crate::roles::KILOBYTES_PER_SECOND;
 
 /// A run measured what a gateway sends; it receives as much.
-const SENT_AND_RECEIVED: f64 = 2.0;
+const DIRECTIONS: f64 = 2.0;
 
 pub(super) fn quantities(assumptions: &Assumptions) -> Vec<Quantity> {
     let limit = assumptions.target.kilobytes_per_second;
     let (gateways, workers) = (assumptions.target.gateways, assumptions.workers());
     let membership = kilobytes("membership datagrams, settled, sent and received", "peers-bytes", gateways)
-        .scaled(SENT_AND_RECEIVED);
+        .scaled(DIRECTIONS);
     let usage_reports =
-        kilobytes("usage reports, sent and received", "counts-bytes", gateways).scaled(SENT_AND_RECEIVED);
+        kilobytes("usage reports, sent and received", "counts-bytes", gateways).scaled(DIRECTIONS);
     let updates = list_updates(
         "endpoint list updates, an ordinary day",
         workers,
@@ -35,7 +35,7 @@
         "peers-bytes-starting",
         gateways,
     )
-    .scaled(SENT_AND_RECEIVED);
+    .scaled(DIRECTIONS);
     let zone_recovery = list_updates(
         "endpoint list updates while a zone's workers return",
         workers,
--- a/crates/capacity-model/src/roles/gateway/mod.rs
+++ b/crates/capacity-model/src/roles/gateway/mod.rs
@@ -12,21 +12,21 @@
 pub use known_functions::GatewayCalls;
 
 use crate::assumptions::Assumptions;
+use crate::fitted_runs::FittedRuns;
 use crate::quantity::{Quantity, Resource, Role, RunInput};
-use crate::slopes::Slopes;
 
 /// Looks of the membership link at the quorum proof per second while no datagram arrives: one each 50 ms.
 const IDLE_PROOF_CHECKS_PER_SECOND: f64 = 20.0;
 
 /// A gateway's quantities, in the order of the page.
-pub(super) fn quantities(assumptions: &Assumptions, slopes: &Slopes) -> Vec<Quantity> {
+pub(super) fn quantities(assumptions: &Assumptions, fitted_runs: &FittedRuns) -> Vec<Quantity> {
     [
         state::quantities(assumptions),
         memory::quantities(assumptions),
-        cpu::quantities(assumptions, slopes),
+        cpu::quantities(assumptions, fitted_runs),
         messages::quantities(assumptions),
-        latency::quantities(assumptions, slopes),
-        usage_reports::quantities(assumptions, slopes),
+        latency::quantities(assumptions, fitted_runs),
+        usage_reports::quantities(assumptions, fitted_runs),
         latency::cold_start(assumptions),
     ]
     .concat()
--- a/crates/capacity-model/src/roles/gateway/usage_reports.rs
+++ b/crates/capacity-model/src/roles/gateway/usage_reports.rs
@@ -2,10 +2,10 @@
 
 use super::measured;
 use crate::assumptions::{Assumptions, Parameter};
+use crate::fitted_runs::FittedRuns;
 use crate::popularity::Popularity;
 use crate::quantity::{Quantity, Resource, Role};
 use crate::roles::KILOBYTES_PER_SECOND;
-use crate::slopes::Slopes;
 
 /// Mean execution time of a call at its worker, in seconds.
 const MEAN_CALL_SECONDS: f64 = 0.06;
@@ -28,10 +28,10 @@
 /// As in `milletpath_shared_budgets::outbox`: the limit on a gateway's messages, in kB per second.
 const MAX_KILOBYTES_PER_SECOND: f64 = 10.0;
 
-pub(super) fn quantities(assumptions: &Assumptions, slopes: &Slopes) -> Vec<Quantity> {
+pub(super) fn quantities(assumptions: &Assumptions, fitted_runs: &FittedRuns) -> Vec<Quantity> {
     vec![
         smallest_reported(assumptions),
-        functions_received(assumptions, slopes),
+        functions_received(assumptions, fitted_runs),
         answers_of_summing_gateway(assumptions),
     ]
 }
@@ -63,10 +63,10 @@
 }
 
 /// Of those functions, how many a gateway receives the concurrency of.
-fn functions_received(assumptions: &Assumptions, slopes: &Slopes) -> Quantity {
+fn functions_received(assumptions: &Assumptions, fitted_runs: &FittedRuns) -> Quantity {
     const RUN: &str = "counts-functions";
     let needed = functions_on_several_instances(assumptions)(1.0);
-    let received = slopes.get(RUN).map_or(f64::NAN, |fitted| fitted.run.interpolate(needed));
+    let received = fitted_runs.get(RUN).map_or(f64::NAN, |fitted| fitted.run.interpolate(needed));
     let description =
         format!("functions whose usage is received, of {needed} that keep more than one instance busy");
     measured(Resource::State, description, RUN, needed, "functions").with_formula(move |_, _| received)
--- a/crates/capacity-model/src/roles/mod.rs
+++ b/crates/capacity-model/src/roles/mod.rs
@@ -7,9 +7,9 @@
 mod worker;
 
 use crate::assumptions::Assumptions;
+use crate::fitted_runs::FittedRuns;
 use crate::projection::{Projection, project};
 use crate::quantity::Quantity;
-use crate::slopes::Slopes;
 
 /// Percent of one core that a millisecond of CPU a second is.
 const PERCENT_PER_MILLISECOND: f64 = 0.1;
@@ -19,14 +19,14 @@
 const KILOBYTES_PER_SECOND: &str = "kB/s";
 
 /// All quantities projected to the target size, in the order of the page.
-pub fn projections(assumptions: &Assumptions, slopes: &Slopes) -> Vec<Projection> {
+pub fn projections(assumptions: &Assumptions, fitted_runs: &FittedRuns) -> Vec<Projection> {
     let quantities: Vec<Quantity> = [
-        gateway::quantities(assumptions, slopes),
+        gateway::quantities(assumptions, fitted_runs),
         worker::quantities(assumptions),
         control_machine::quantities(assumptions),
         endpoint_list::quantities(assumptions),
         store::quantities(assumptions),
     ]
     .concat();
-    quantities.iter().map(|quantity| project(quantity, slopes)).collect()
+    quantities.iter().map(|quantity| project(quantity, fitted_runs)).collect()
 }
--- a/crates/capacity-model/src/run.rs
+++ b/crates/capacity-model/src/run.rs
@@ -10,10 +10,10 @@
 pub const MIN_SIZES: usize = 4;
 
 /// File name, without extension, of the assumptions beside the runs.
-const ASSUMPTIONS_STEM: &str = "assumptions";
+const ASSUMPTIONS_FILE_STEM: &str = "assumptions";
 
 /// Prefix of the files that hold results of scale tests.
-const SCALE_PREFIX: &str = "scale-";
+const SCALE_FILE_PREFIX: &str = "scale-";
 
 /// The repeats at one size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -157,5 +157,5 @@
         return None;
     }
     let stem = path.file_stem()?.to_string_lossy().into_owned();
-    (stem != ASSUMPTIONS_STEM && !stem.starts_with(SCALE_PREFIX)).then_some(stem)
+    (stem != ASSUMPTIONS_FILE_STEM && !stem.starts_with(SCALE_FILE_PREFIX)).then_some(stem)
 }
--- a/crates/capacity-model/src/scale.rs
+++ b/crates/capacity-model/src/scale.rs
@@ -24,7 +24,7 @@
 
 impl Distribution {
     /// Whether every gateway learned of the event, the last one within `bound` seconds.
-    pub fn is_within(&self, bound: f64) -> bool {
+    pub fn reached_all_within(&self, bound: f64) -> bool {
         self.never.unwrap_or(0) == 0 && self.worst.or(self.p99).is_some_and(|worst| worst <= bound)
     }
 }
@@ -78,7 +78,7 @@
 
 impl ScaleRun {
     /// Whether a mechanism was enabled.
-    pub fn ran(&self, mechanism: &str) -> bool {
+    pub fn enabled(&self, mechanism: &str) -> bool {
         self.runs.as_ref().is_some_and(|runs| runs.iter().any(|run| run == mechanism))
     }
 
--- a/crates/capacity-model/src/shortfalls.rs
+++ b/crates/capacity-model/src/shortfalls.rs
@@ -7,7 +7,7 @@
 use crate::scale::{Distribution, ScaleRun};
 
 /// How the scale test reports that membership never converged.
-const NEVER_CONVERGED: &str = "never settled";
+const NEVER_CONVERGED_PREFIX: &str = "never settled";
 
 /// A requirement that is not met at the target size.
 #[derive(Clone, Debug, PartialEq)]
@@ -49,8 +49,9 @@
 
 /// The projections that exceed their limit together with other shortfalls, by ascending breaking point.
 pub fn rank(projections: &[Projection], others: &[Shortfall]) -> Vec<Shortfall> {
-    let missed = projections.iter().filter(|projection| projection.misses());
-    let mut ranked: Vec<Shortfall> = others.iter().cloned().chain(missed.map(Shortfall::projected)).collect();
+    let exceeded = projections.iter().filter(|projection| projection.exceeds_limit());
+    let mut ranked: Vec<Shortfall> =
+        others.iter().cloned().chain(exceeded.map(Shortfall::projected)).collect();
     ranked.sort_by(|a, b| a.breaking_point.total_cmp(&b.breaking_point));
     ranked
 }
@@ -71,12 +72,12 @@
 fn config_propagation(assumptions: &Assumptions, scale_runs: &[ScaleRun]) -> Option<Shortfall> {
     let target = &assumptions.target;
     let (gateways, bound) = (target.gateways, target.config_propagation_seconds);
-    let with_gateways = |run: &ScaleRun| Some((run.gateways as f64, *run.change_propagation()?));
-    let shown: Vec<(f64, Distribution)> = scale_runs.iter().filter_map(with_gateways).collect();
-    let largest = shown.iter().map(|(size, _)| *size).fold(0.0, f64::max);
-    let late = shown.iter().filter(|(_, propagation)| !propagation.is_within(bound));
+    let propagation_by_size = |run: &ScaleRun| Some((run.gateways as f64, *run.change_propagation()?));
+    let observed: Vec<(f64, Distribution)> = scale_runs.iter().filter_map(propagation_by_size).collect();
+    let largest = observed.iter().map(|(size, _)| *size).fold(0.0, f64::max);
+    let late = observed.iter().filter(|(_, propagation)| !propagation.reached_all_within(bound));
     let (reason, breaking_point) = match late.min_by(|a, b| a.0.total_cmp(&b.0)) {
-        _ if shown.is_empty() => {
+        _ if observed.is_empty() => {
             ("there is no mechanism: `serve` reads its configuration at start only".into(), 1.0 / gateways)
         }
         Some((size, propagation)) => (late_propagation(*size, propagation), size / gateways),
@@ -122,7 +123,7 @@
 fn membership_convergence(assumptions: &Assumptions, scale_runs: &[ScaleRun]) -> Option<Shortfall> {
     let violation = |run: &ScaleRun| {
         let descriptions = run.broken.iter().filter_map(|broken| broken.as_str());
-        descriptions.map(str::to_owned).find(|description| description.starts_with(NEVER_CONVERGED))
+        descriptions.map(str::to_owned).find(|description| description.starts_with(NEVER_CONVERGED_PREFIX))
     };
     let failed = scale_runs.iter().filter_map(|run| Some((run, violation(run)?)));
     let (smallest, violation) = failed.min_by_key(|(run, _)| run.gateways)?;
--- a/crates/capacity-model/tests/fit.rs
+++ b/crates/capacity-model/tests/fit.rs
@@ -33,11 +33,11 @@
     1.0 + amplitude * (2.0 * rng.rand_float() - 1.0)
 }
 
-#[test_case(Form::Flat, |_| 3.0; "flat")]
-#[test_case(Form::Log, |n| 1.0 + 2.0 * n.ln_1p(); "log n")]
+#[test_case(Form::Constant, |_| 3.0; "flat")]
+#[test_case(Form::Logarithmic, |n| 1.0 + 2.0 * n.ln_1p(); "log n")]
 #[test_case(Form::Linear, |n| 0.2 + 0.01 * n; "n")]
-#[test_case(Form::Square, |n| 0.1 + 3e-6 * n * n; "n square")]
-#[test_case(Form::Cube, |n| 0.1 + 1e-8 * n * n * n; "n cube")]
+#[test_case(Form::Quadratic, |n| 0.1 + 3e-6 * n * n; "n square")]
+#[test_case(Form::Cubic, |n| 0.1 + 1e-8 * n * n * n; "n cube")]
 fn a_form_is_recovered_under_noise(form: Form, value: fn(f64) -> f64) {
     let mut rng = Rand64::new(7);
     for _ in 0..200 {
@@ -61,14 +61,14 @@
         let value = |n: f64| 1e-4 * n * n.ln_1p();
         let found =
             fit(&run(false, sizes.map(|n| measurement(n, None, value(n) * noise(&mut rng, 0.01))).to_vec()));
-        assert_eq!(found.form, Form::LinearLog, "{found}");
+        assert_eq!(found.form, Form::Linearithmic, "{found}");
         assert!((found.value_at(30_000.0, 0.0) / value(30_000.0) - 1.0).abs() < 0.05, "{found}");
     }
 }
 
 /// No single power fits, and one alone would extrapolate to far too little.
-#[test_case(Form::LinearAndSquare, |n| 0.01 * n + 1e-4 * n * n; "n and its square")]
-#[test_case(Form::LinearAndCube, |n| 0.01 * n + 1e-6 * n * n * n; "n and its cube")]
+#[test_case(Form::LinearPlusQuadratic, |n| 0.01 * n + 1e-4 * n * n; "n and its square")]
+#[test_case(Form::LinearPlusCubic, |n| 0.01 * n + 1e-6 * n * n * n; "n and its cube")]
 fn a_term_that_overtakes_another_is_found_beside_it(form: Form, value: fn(f64) -> f64) {
     let mut rng = Rand64::new(5);
     for _ in 0..100 {
@@ -82,8 +82,8 @@
 
 #[test_case(Form::Product, |n, m| 1.0 + 0.002 * n * m; "n times m")]
 #[test_case(Form::Linear, |n, _| 1.0 + 0.2 * n; "n alone")]
-#[test_case(Form::Second, |_, m| 1.0 + 0.2 * m; "m alone")]
-#[test_case(Form::Flat, |_, _| 4.0; "neither")]
+#[test_case(Form::SecondAxis, |_, m| 1.0 + 0.2 * m; "m alone")]
+#[test_case(Form::Constant, |_, _| 4.0; "neither")]
 fn the_axes_that_matter_are_found(form: Form, value: fn(f64, f64) -> f64) {
     let mut rng = Rand64::new(3);
     for _ in 0..100 {
@@ -103,7 +103,7 @@
 fn a_decreasing_quantity_counts_as_flat() {
     let found =
         fit(&run(false, [1.0, 10.0, 100.0, 1_000.0].map(|n| measurement(n, None, 5.0 - n.log10())).to_vec()));
-    assert_eq!(found.form, Form::Flat);
+    assert_eq!(found.form, Form::Constant);
     assert!(found.residual > 0.3, "the residual shows that it does not fit: {found}");
 }
 
--- a/crates/capacity-model/tests/page.rs
+++ b/crates/capacity-model/tests/page.rs
@@ -5,13 +5,13 @@
 use milletpath_capacity_model::number::number;
 use milletpath_capacity_model::page::{ASSUMPTIONS_FILE, rewrite, tables};
 use milletpath_capacity_model::run;
-use rig::{RunFolder, docs};
+use rig::{RunFolder, docs_folder};
 use test_case::test_case;
 
 #[test]
 fn the_page_is_what_the_command_makes_of_the_runs() {
-    let page = std::fs::read_to_string(docs().join("CAPACITY.md")).unwrap();
-    let made = rewrite(&page, &tables(&docs().join("capacity")).unwrap()).unwrap();
+    let page = std::fs::read_to_string(docs_folder().join("CAPACITY.md")).unwrap();
+    let made = rewrite(&page, &tables(&docs_folder().join("capacity")).unwrap()).unwrap();
     assert!(page == made, "docs/CAPACITY.md is not up to date: milletpath capacity --page docs/CAPACITY.md");
 }
 
--- a/crates/capacity-model/tests/projection.rs
+++ b/crates/capacity-model/tests/projection.rs
@@ -3,38 +3,38 @@
 mod rig;
 
 use milletpath_capacity_model::assumptions::Assumptions;
+use milletpath_capacity_model::fitted_runs::FittedRuns;
 use milletpath_capacity_model::projection::{Projection, project};
 use milletpath_capacity_model::quantity::{Quantity, Resource, Role, RunInput};
 use milletpath_capacity_model::roles::projections;
 use milletpath_capacity_model::run::Run;
 use milletpath_capacity_model::shortfalls::{Shortfall, rank, shortfalls};
-use milletpath_capacity_model::slopes::Slopes;
-use rig::committed;
+use rig::committed_inputs;
 use std::collections::BTreeMap;
 
 /// The shortfalls that such runs give, in order.
 fn ranked(assumptions: &Assumptions, runs: BTreeMap<String, Run>) -> Vec<Shortfall> {
-    rank(&projections(assumptions, &Slopes::new(runs)), &shortfalls(assumptions, &[]))
+    rank(&projections(assumptions, &FittedRuns::new(runs)), &shortfalls(assumptions, &[]))
 }
 
 /// Memory by the run `list-memory`, at a size and with a limit.
 fn list_memory(runs: &BTreeMap<String, Run>, size: f64, limit: f64) -> Projection {
     let input = RunInput::new("list-memory", size);
     let quantity = Quantity::from_run(Role::Gateway, Resource::Memory, "memory", input, "MB");
-    project(&quantity.with_limit(limit), &Slopes::new(runs.clone()))
+    project(&quantity.with_limit(limit), &FittedRuns::new(runs.clone()))
 }
 
 #[test]
 fn no_projection_lacks_its_run() {
-    let (assumptions, runs) = committed();
-    for projection in projections(&assumptions, &Slopes::new(runs)) {
+    let (assumptions, runs) = committed_inputs();
+    for projection in projections(&assumptions, &FittedRuns::new(runs)) {
         assert!(projection.value.is_finite(), "{}: {:?}", projection.description, projection.source);
     }
 }
 
 #[test]
 fn a_changed_measurement_moves_the_shortfalls() {
-    let (assumptions, runs) = committed();
+    let (assumptions, runs) = committed_inputs();
     let before = ranked(&assumptions, runs.clone());
     let description = "one worker joins: the core is blocked for";
     let position = |ranked: &[Shortfall]| ranked.iter().position(|s| s.description == description);
@@ -56,7 +56,7 @@
 
 #[test]
 fn shortfalls_are_ranked_with_the_missing_mechanism_first() {
-    let (assumptions, runs) = committed();
+    let (assumptions, runs) = committed_inputs();
     let ranked = ranked(&assumptions, runs);
     assert!(ranked.windows(2).all(|pair| pair[0].breaking_point <= pair[1].breaking_point));
     assert!(
@@ -70,10 +70,10 @@
 
 #[test]
 fn the_breaking_point_of_a_kept_limit_lies_beyond_the_target() {
-    let (assumptions, runs) = committed();
-    let projections = projections(&assumptions, &Slopes::new(runs));
+    let (assumptions, runs) = committed_inputs();
+    let projections = projections(&assumptions, &FittedRuns::new(runs));
     let workers = projections.iter().find(|p| p.description == "workers known").unwrap();
-    assert!(!workers.misses());
+    assert!(!workers.exceeds_limit());
     let breaking_point = workers.breaking_point;
     assert!((breaking_point.unwrap() - 65_536.0 / 9_100.0).abs() < 0.01, "{breaking_point:?}");
 }
@@ -82,13 +82,13 @@
 /// neighbours; a limit that the measurement keeps is not exceeded before the target.
 #[test]
 fn a_measurement_at_the_target_overrides_the_form() {
-    let (assumptions, mut runs) = committed();
+    let (assumptions, mut runs) = committed_inputs();
     // 0.001 for each worker, but for a bump at the target.
     for measurement in &mut runs.get_mut("list-memory").unwrap().measurements {
         measurement.median = measurement.size * if measurement.size == 9_100.0 { 0.0015 } else { 0.001 };
     }
     let exceeded = list_memory(&runs, assumptions.workers(), 12.5);
-    assert!(exceeded.misses());
+    assert!(exceeded.exceeds_limit());
     let (from, to) = ((3_000.0, 3.0), (9_100.0, 13.65));
     let workers = from.0 + (to.0 - from.0) * (12.5 - from.1) / (to.1 - from.1);
     let breaking_point = exceeded.breaking_point;
@@ -98,13 +98,13 @@
         measurement.median = measurement.size * if measurement.size == 9_100.0 { 0.0005 } else { 0.001 };
     }
     let kept = list_memory(&runs, assumptions.workers(), 5.0);
-    assert!(!kept.misses() && kept.breaking_point.unwrap() >= 1.0, "{:?}", kept.breaking_point);
+    assert!(!kept.exceeds_limit() && kept.breaking_point.unwrap() >= 1.0, "{:?}", kept.breaking_point);
 }
 
 /// An extrapolated value gives the range of all plausible forms, and whether these change the verdict.
 #[test]
 fn a_verdict_that_depends_on_the_form_is_uncertain() {
-    let (_, mut runs) = committed();
+    let (_, mut runs) = committed_inputs();
     let run = runs.get_mut("list-memory").unwrap();
     // Between a square and a cube.
     let sizes = [10.0, 20.0, 40.0, 80.0, 160.0];
--- a/crates/capacity-model/tests/rig/mod.rs
+++ b/crates/capacity-model/tests/rig/mod.rs
@@ -7,13 +7,13 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-pub fn docs() -> PathBuf {
+pub fn docs_folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs")
 }
 
 /// The committed assumptions and runs.
-pub fn committed() -> (Assumptions, BTreeMap<String, Run>) {
-    let folder = docs().join("capacity");
+pub fn committed_inputs() -> (Assumptions, BTreeMap<String, Run>) {
+    let folder = docs_folder().join("capacity");
     (Assumptions::read(&folder.join(ASSUMPTIONS_FILE)).unwrap(), run::read_all(&folder).unwrap())
 }
 
@@ -24,7 +24,7 @@
     pub fn new(name: &str) -> Self {
         let folder = std::env::temp_dir().join(format!("milletpath-capacity-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        for file in std::fs::read_dir(docs().join("capacity")).unwrap() {
+        for file in std::fs::read_dir(docs_folder().join("capacity")).unwrap() {
             let path = file.unwrap().path();
             let name = path.file_name().unwrap();
             if !name.to_string_lossy().starts_with("scale-") {
--- a/crates/capacity-model/tests/scale_runs.rs
+++ b/crates/capacity-model/tests/scale_runs.rs
@@ -3,13 +3,13 @@
 mod rig;
 
 use milletpath_capacity_model::derived_runs::derive_runs;
+use milletpath_capacity_model::fitted_runs::FittedRuns;
 use milletpath_capacity_model::page::tables;
 use milletpath_capacity_model::roles::projections;
 use milletpath_capacity_model::run;
 use milletpath_capacity_model::scale;
 use milletpath_capacity_model::shortfalls::{rank, shortfalls};
-use milletpath_capacity_model::slopes::Slopes;
-use rig::{RunFolder, committed, docs};
+use rig::{RunFolder, committed_inputs, docs_folder};
 use test_case::test_case;
 
 const SCALE_RUN: &str = r#"{"gateways": 1100, "seed": 3, "broken": [], "runs": ["peers", "changes"],
@@ -44,14 +44,15 @@
     assert_eq!(made.contains("| a configuration change"), !holds);
     let scale_runs = scale::read_all(&folder.0).unwrap();
     assert!(
-        scale_runs.iter().any(|run| run.ran("changes")) && scale_runs.iter().any(|run| !run.ran("changes"))
+        scale_runs.iter().any(|run| run.enabled("changes"))
+            && scale_runs.iter().any(|run| !run.enabled("changes"))
     );
 }
 
 /// The committed slopes of whole fleets are those that the committed scale tests give, and no others.
 #[test]
 fn fleet_slopes_are_derived_from_the_scale_runs() {
-    let folder = docs().join("capacity");
+    let folder = docs_folder().join("capacity");
     let scale_runs = scale::read_all(&folder).unwrap();
     let derived = derive_runs(&scale_runs);
     assert_eq!(derived.len(), 6);
@@ -76,9 +77,10 @@
     write("55", "0.012", "\"control.bytes_in in quiet\"");
     write("110", "0.0121", "\"other\", \"never settled in roll: 93 of 110\"");
     write("220", "0.04", "\"never settled in begin: 0 of 220\"");
-    let (assumptions, runs) = committed();
+    let (assumptions, runs) = committed_inputs();
     let scale_runs = scale::read_all(&folder.0).unwrap();
-    let ranked = rank(&projections(&assumptions, &Slopes::new(runs)), &shortfalls(&assumptions, &scale_runs));
+    let ranked =
+        rank(&projections(&assumptions, &FittedRuns::new(runs)), &shortfalls(&assumptions, &scale_runs));
     let find = |text: &str| ranked.iter().find(|s| s.description.contains(text)).unwrap().clone();
     let cpu = find("CPU for control in the scale test");
     assert!((cpu.breaking_point - 0.1).abs() < 1e-9 && cpu.reason.contains("1.21 % (p50) among 110"));
