--- a/crates/capacity-model/benches/slopes/dispatcher.rs
+++ b/crates/capacity-model/benches/slopes/dispatcher.rs
@@ -1,21 +1,21 @@
 //! The dispatcher against the number of workers: a call's cost, memory, health checks, load requests and cold starts.
 
-use crate::dispatcher_simulation::{Report, simulate};
-use crate::fleet_load::{FleetLoad, TARGET};
-use crate::measure::{Options, Slope, cpu_seconds, measurement};
+use crate::dispatcher_simulation::{DispatcherMetrics, simulate};
+use crate::fleet_load::{FleetLoad, TARGET_LOAD};
+use crate::measure::{Options, RunDescription, cpu_seconds, measurement};
 use milletpath_capacity_model::run::Measurement;
 
 /// Numbers of workers that are measured; from few on, as a call's cost passes its limit early.
-const WORKERS: [usize; 7] = [30, 100, 300, 1_000, 3_000, 9_100, 30_000];
+const WORKER_COUNTS: [usize; 7] = [30, 100, 300, 1_000, 3_000, 9_100, 30_000];
 
 /// Those among which cold starts are measured.
-const WORKERS_FOR_COLD_STARTS: [usize; 4] = [300, 1_000, 3_000, 9_100];
+const COLD_START_WORKER_COUNTS: [usize; 4] = [300, 1_000, 3_000, 9_100];
 
 /// A distribution of calls by which more functions are known at a time.
 pub const FLAT_EXPONENT: f64 = 1.1;
 
 /// CPU of a call against the number of workers; other slopes take its texts.
-pub const CALL: Slope = Slope {
+pub const CALL_CPU: RunDescription = RunDescription {
     name: "call-workers",
     mechanism: "decision on a call: passes over the function's whole walk and its set (`Router::place`)",
     quantity: "CPU a call, all its events together",
@@ -28,48 +28,51 @@
 };
 
 /// Memory of the dispatcher against the number of workers; other slopes take its texts.
-pub const MEMORY: Slope = Slope {
+pub const DISPATCHER_MEMORY: RunDescription = RunDescription {
     name: "memory-workers",
     mechanism: "each function known keeps its walk over all workers (`Function::walk`)",
     quantity: "memory of the desk, steady",
     unit: "MB",
     method: "bytes by a counting allocator around the desk, once it is steady; five looks 5 simulated seconds \
              apart",
-    ..CALL
+    ..CALL_CPU
 };
 
 /// Fixed parameters with the flat distribution.
-const FIXED_FLAT: &[(&str, f64)] =
+const FIXED_PARAMETERS_FLAT: &[(&str, f64)] =
     &[("gateways", 1_100.0), ("functions", 33_000.0), ("calls a second", 145.0), ("zipf", 1.1)];
 
 /// A simulation at one place on an axis.
-pub struct SizedReport {
+pub struct SizedMetrics {
     pub size: f64,
-    pub report: Report,
+    pub metrics: DispatcherMetrics,
 }
 
 /// Simulates each size.
 pub fn simulate_sizes(
     options: &Options,
     loads: impl IntoIterator<Item = (f64, FleetLoad)>,
-) -> Vec<SizedReport> {
+) -> Vec<SizedMetrics> {
     let simulate_size = |(size, load)| {
         let start = cpu_seconds();
-        let report = simulate(load, options.seed);
+        let metrics = simulate(load, options.seed);
         eprintln!(
             "{size}: {:.3} succeeded, {} cold starts, {:.0} s of CPU",
-            report.success_ratio,
-            report.cold_start_millis.len(),
+            metrics.success_ratio,
+            metrics.cold_start_millis.len(),
             cpu_seconds() - start
         );
-        SizedReport { size, report }
+        SizedMetrics { size, metrics }
     };
     loads.into_iter().map(simulate_size).collect()
 }
 
 /// One quantity of all reports.
-pub fn measurements(reports: &[SizedReport], values: impl Fn(&Report) -> Vec<f64>) -> Vec<Measurement> {
-    reports.iter().map(|sized| measurement(sized.size, values(&sized.report))).collect()
+pub fn measurements(
+    results: &[SizedMetrics],
+    values: impl Fn(&DispatcherMetrics) -> Vec<f64>,
+) -> Vec<Measurement> {
+    results.iter().map(|sized| measurement(sized.size, values(&sized.metrics))).collect()
 }
 
 /// The value below which a fraction of all values lies: 0.5 is the median. 0 without values.
@@ -80,73 +83,73 @@
     sorted.get(index).copied().unwrap_or(0.0)
 }
 
-fn by_workers<const N: usize>(workers: [usize; N], load: FleetLoad) -> [(f64, FleetLoad); N] {
+fn loads_by_workers<const N: usize>(workers: [usize; N], load: FleetLoad) -> [(f64, FleetLoad); N] {
     workers.map(|workers| (workers as f64, FleetLoad { workers, ..load }))
 }
 
-pub fn workers(options: &Options) {
-    let reports = simulate_sizes(options, by_workers(WORKERS, TARGET));
-    CALL.write(options, measurements(&reports, |report| report.cpu_micros.clone()));
-    Slope {
+pub fn measure_workers(options: &Options) {
+    let results = simulate_sizes(options, loads_by_workers(WORKER_COUNTS, TARGET_LOAD));
+    CALL_CPU.write(options, measurements(&results, |metrics| metrics.cpu_micros.clone()));
+    RunDescription {
         name: "probes-workers",
         mechanism: "probe before a shot where nothing was heard for 1 s (`Router::place`)",
         quantity: "probes a call",
         unit: "probes",
         method: "counted",
-        ..CALL
+        ..CALL_CPU
     }
-    .write(options, measurements(&reports, |report| report.health_checks.clone()));
-    Slope {
+    .write(options, measurements(&results, |metrics| metrics.health_checks.clone()));
+    RunDescription {
         name: "orders-workers",
         mechanism: "orders to load (`Router::order`)",
         quantity: "orders a call",
         unit: "orders",
         method: "counted",
-        ..CALL
+        ..CALL_CPU
     }
-    .write(options, measurements(&reports, |report| report.load_requests.clone()));
-    MEMORY.write(options, measurements(&reports, |report| report.megabytes.clone()));
+    .write(options, measurements(&results, |metrics| metrics.load_requests.clone()));
+    DISPATCHER_MEMORY.write(options, measurements(&results, |metrics| metrics.megabytes.clone()));
 }
 
 /// The same with the flat distribution.
-pub fn workers_flat(options: &Options) {
-    let flat = FleetLoad { zipf_exponent: FLAT_EXPONENT, ..TARGET };
-    let reports = simulate_sizes(options, by_workers(WORKERS, flat));
-    let (fixed, group) = (FIXED_FLAT, "desk-flat");
-    let call = Slope { name: "call-workers-flat", fixed, group, ..CALL };
-    call.write(options, measurements(&reports, |report| report.cpu_micros.clone()));
-    let memory = Slope { name: "memory-workers-flat", fixed, group, ..MEMORY };
-    memory.write(options, measurements(&reports, |report| report.megabytes.clone()));
-    Slope {
+pub fn measure_workers_flat(options: &Options) {
+    let flat = FleetLoad { zipf_exponent: FLAT_EXPONENT, ..TARGET_LOAD };
+    let results = simulate_sizes(options, loads_by_workers(WORKER_COUNTS, flat));
+    let (fixed, group) = (FIXED_PARAMETERS_FLAT, "desk-flat");
+    let call = RunDescription { name: "call-workers-flat", fixed, group, ..CALL_CPU };
+    call.write(options, measurements(&results, |metrics| metrics.cpu_micros.clone()));
+    let memory = RunDescription { name: "memory-workers-flat", fixed, group, ..DISPATCHER_MEMORY };
+    memory.write(options, measurements(&results, |metrics| metrics.megabytes.clone()));
+    RunDescription {
         name: "functions-known-flat",
         quantity: "functions known at a time",
         unit: "functions",
         method: "counted",
         ..memory
     }
-    .write(options, measurements(&reports, |report| report.functions.clone()));
+    .write(options, measurements(&results, |metrics| metrics.functions.clone()));
 }
 
 /// The gateway's part of a cold start, with the flat distribution, so that there are hundreds of them.
-pub fn cold_starts(options: &Options) {
-    let flat = FleetLoad { zipf_exponent: FLAT_EXPONENT, ..TARGET };
-    let reports = simulate_sizes(options, by_workers(WORKERS_FOR_COLD_STARTS, flat));
-    let p99 = Slope {
+pub fn measure_cold_starts(options: &Options) {
+    let flat = FleetLoad { zipf_exponent: FLAT_EXPONENT, ..TARGET_LOAD };
+    let results = simulate_sizes(options, loads_by_workers(COLD_START_WORKER_COUNTS, flat));
+    let p99 = RunDescription {
         name: "cold-start-p99",
         mechanism: "probe before the first shot, for up to 0.03 of the due time (`Router::place`)",
         quantity: "cold start, the gateway's own part, p99: from arrival to the first shot",
         unit: "ms",
         method: "simulated time, of some 750 calls whose function stands nowhere that the gateway knows \
                  of; workers 1, 30, 80 and 150 ms away, a quarter each; once",
-        fixed: FIXED_FLAT,
+        fixed: FIXED_PARAMETERS_FLAT,
         group: "desk-cold",
-        ..CALL
+        ..CALL_CPU
     };
-    p99.write(options, measurements(&reports, |report| vec![quantile(&report.cold_start_millis, 0.99)]));
-    Slope {
+    p99.write(options, measurements(&results, |metrics| vec![quantile(&metrics.cold_start_millis, 0.99)]));
+    RunDescription {
         name: "cold-start-p50",
         quantity: "cold start, the gateway's own part, p50: from arrival to the first shot",
         ..p99
     }
-    .write(options, measurements(&reports, |report| vec![quantile(&report.cold_start_millis, 0.5)]));
+    .write(options, measurements(&results, |metrics| vec![quantile(&metrics.cold_start_millis, 0.5)]));
 }
--- a/crates/capacity-model/benches/slopes/dispatcher_simulation.rs
+++ b/crates/capacity-model/benches/slopes/dispatcher_simulation.rs
@@ -5,7 +5,8 @@
 use crate::event_queue::EventQueue;
 use crate::fleet_load::FleetLoad;
 use crate::measure::{
-    BYTES_PER_MEGABYTE, MICROSECONDS, MILLISECONDS, allocated_bytes, clock_overhead, cpu_seconds,
+    BYTES_PER_MEGABYTE, MICROSECONDS_PER_SECOND, MILLISECONDS_PER_SECOND, allocated_bytes, clock_overhead,
+    cpu_seconds,
 };
 use crate::simulated_workers::{SimulatedWorkers, round_trip};
 use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest, RequestId};
@@ -17,22 +18,22 @@
 use std::collections::HashMap;
 
 /// Simulated seconds beyond the idle timeout until the state is steady: what was called first has been evicted.
-const WARM_UP: f64 = 20.0;
+const WARM_UP_SECONDS: f64 = 20.0;
 
 /// Windows that are measured then, and the seconds of each.
-const WINDOWS: usize = 5;
-const WINDOW: f64 = 5.0;
+const WINDOW_COUNT: usize = 5;
+const WINDOW_SECONDS: f64 = 5.0;
 
 /// Mean execution time of a call, in seconds.
-const MEAN_EXECUTION: f64 = 0.05;
+const MEAN_EXECUTION_SECONDS: f64 = 0.05;
 
 /// Seconds until a client gives up, and the number of the client.
-const CLIENT_TIMEOUT: f64 = 3.3;
-const CLIENT: usize = 9;
+const CLIENT_TIMEOUT_SECONDS: f64 = 3.3;
+const CLIENT_ID: usize = 9;
 
 /// What was measured; of those by window one value each.
 #[derive(Default)]
-pub struct Report {
+pub struct DispatcherMetrics {
     /// CPU of a call in microseconds, by window.
     pub cpu_micros: Vec<f64>,
     /// Memory of the dispatcher, by window.
@@ -80,7 +81,7 @@
         Self {
             function: Zipf::new(load.functions as f64, load.zipf_exponent).expect("a popularity"),
             interval: Exp::new(load.calls_per_second).expect("a rate"),
-            execution: Exp::new(1.0 / MEAN_EXECUTION).expect("a time"),
+            execution: Exp::new(1.0 / MEAN_EXECUTION_SECONDS).expect("a time"),
         }
     }
 }
@@ -113,11 +114,11 @@
     list_updates: usize,
     /// Arrival times of requests whose function is loaded nowhere, by serial number.
     cold_requests: HashMap<u64, f64>,
-    report: Report,
+    metrics: DispatcherMetrics,
 }
 
 /// Runs the simulation.
-pub fn simulate(load: FleetLoad, seed: u64) -> Report {
+pub fn simulate(load: FleetLoad, seed: u64) -> DispatcherMetrics {
     Simulation::new(load, seed).run()
 }
 
@@ -146,25 +147,25 @@
             window: Window::default(),
             list_updates: 0,
             cold_requests: HashMap::new(),
-            report: Report::default(),
+            metrics: DispatcherMetrics::default(),
         }
     }
 
-    fn run(mut self) -> Report {
+    fn run(mut self) -> DispatcherMetrics {
         self.queue.push(0.0, Event::RequestArrives);
         self.schedule_list_update(0.0);
         self.begin_window(0);
         while let Some((now, event)) = self.queue.pop() {
             self.advance_window(now);
-            if self.window.number > WINDOWS {
-                self.report.loaded_instances = self.workers.loaded_instances(now) as f64;
+            if self.window.number > WINDOW_COUNT {
+                self.metrics.loaded_instances = self.workers.loaded_instances(now) as f64;
                 break;
             }
             self.apply(now, &event);
         }
         let counters = self.dispatcher.counters();
-        self.report.success_ratio = counters.succeeded as f64 / counters.accepted.max(1) as f64;
-        self.report
+        self.metrics.success_ratio = counters.succeeded as f64 / counters.accepted.max(1) as f64;
+        self.metrics
     }
 
     fn schedule_list_update(&mut self, now: f64) {
@@ -175,12 +176,12 @@
 
     /// Begins the first window once the state is steady, and closes each at its end.
     fn advance_window(&mut self, now: f64) {
-        let steady = self.load.idle_timeout + WARM_UP;
-        if self.window.number == 0 && now >= steady {
-            self.report.cold_start_millis.clear();
+        let steady_state_start = self.load.idle_timeout + WARM_UP_SECONDS;
+        if self.window.number == 0 && now >= steady_state_start {
+            self.metrics.cold_start_millis.clear();
             self.begin_window(1);
         }
-        if self.window.number > 0 && now >= steady + WINDOW * self.window.number as f64 {
+        if self.window.number > 0 && now >= steady_state_start + WINDOW_SECONDS * self.window.number as f64 {
             self.record_window();
             self.begin_window(self.window.number + 1);
         }
@@ -202,11 +203,11 @@
         let calls = f64::from(window.calls.max(1));
         let health_checks = counters.health_checks - window.health_checks_before;
         let load_requests = counters.load_requests - window.load_requests_before;
-        self.report.cpu_micros.push(window.cpu_seconds * MICROSECONDS / calls);
-        self.report.megabytes.push(self.dispatcher_bytes / BYTES_PER_MEGABYTE);
-        self.report.functions.push(self.dispatcher.function_count() as f64);
-        self.report.health_checks.push(health_checks as f64 / calls);
-        self.report.load_requests.push(load_requests as f64 / calls);
+        self.metrics.cpu_micros.push(window.cpu_seconds * MICROSECONDS_PER_SECOND / calls);
+        self.metrics.megabytes.push(self.dispatcher_bytes / BYTES_PER_MEGABYTE);
+        self.metrics.functions.push(self.dispatcher.function_count() as f64);
+        self.metrics.health_checks.push(health_checks as f64 / calls);
+        self.metrics.load_requests.push(load_requests as f64 / calls);
     }
 
     fn apply(&mut self, now: f64, event: &Event) {
@@ -263,8 +264,8 @@
                 let request = IncomingRequest {
                     function: &self.names[input.function],
                     profile: 0,
-                    client: CLIENT,
-                    timeout: CLIENT_TIMEOUT,
+                    client: CLIENT_ID,
+                    timeout: CLIENT_TIMEOUT_SECONDS,
                     is_retry: false,
                     resources: None,
                 };
@@ -327,7 +328,7 @@
 
     fn send_attempt(&mut self, now: f64, request: RequestId, attempt: usize, worker: usize) {
         if let Some(arrival) = self.cold_requests.remove(&request.serial) {
-            self.report.cold_start_millis.push((now - arrival) * MILLISECONDS);
+            self.metrics.cold_start_millis.push((now - arrival) * MILLISECONDS_PER_SECOND);
         }
         self.workers.begin_call(worker);
         let function = self.dispatcher.context(request).copied().unwrap_or(0);
--- a/crates/capacity-model/benches/slopes/endpoint_list.rs
+++ b/crates/capacity-model/benches/slopes/endpoint_list.rs
@@ -1,18 +1,20 @@
 //! One update of the endpoint list inside the dispatcher: for how long nothing else is decided, and what the hash ring
 //! and the state of the workers hold.
 
-use crate::measure::{BYTES_PER_MEGABYTE, MILLISECONDS, Options, Slope, allocated_bytes, measurement, timed};
+use crate::measure::{
+    BYTES_PER_MEGABYTE, MILLISECONDS_PER_SECOND, Options, RunDescription, allocated_bytes, measurement, timed,
+};
 use milletpath_capacity_model::run::Measurement;
 use milletpath_dispatcher::dispatcher::Dispatcher;
 use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// Numbers of workers that are measured.
-pub const WORKERS: [usize; 5] = [300, 1_000, 3_000, 9_100, 30_000];
+pub const WORKER_COUNTS: [usize; 5] = [300, 1_000, 3_000, 9_100, 30_000];
 
 /// Gateways of the fleet, and seconds of the idle timeout, where neither is the axis.
 pub const GATEWAYS: usize = 1_100;
-pub const IDLE_TIMEOUT: f64 = 60.0;
+pub const IDLE_TIMEOUT_SECONDS: f64 = 60.0;
 
 const ZONES: usize = 10;
 const FIRST_ADDRESS: u32 = 0x0a00_0000;
@@ -49,8 +51,8 @@
 }
 
 pub fn measure(options: &Options) {
-    let (memory, joins) = WORKERS.into_iter().map(measure_size).unzip();
-    let slope = Slope {
+    let (memory, joins) = WORKER_COUNTS.into_iter().map(measure_size).unzip();
+    let description = RunDescription {
         name: "list-join",
         mechanism: "ring made anew at each change of the list (`Desk::list`, `Router::list_complete`)",
         quantity: "one worker joins: time inside the desk",
@@ -60,13 +62,13 @@
         fixed: &[("gateways", 1_100.0)],
         group: "list",
     };
-    slope.write(options, joins);
-    Slope {
+    description.write(options, joins);
+    RunDescription {
         name: "list-memory",
         quantity: "list, ring and figures of the fleet",
         unit: "MB",
         method: "bytes by a counting allocator, after one whole list; once, as it does not vary",
-        ..slope
+        ..description
     }
     .write(options, memory);
 }
@@ -76,14 +78,14 @@
     const REPEATS: usize = 9;
     let list = endpoints(workers);
     let before = allocated_bytes();
-    let mut dispatcher: Dispatcher<()> = dispatcher(GATEWAYS, IDLE_TIMEOUT, "");
+    let mut dispatcher: Dispatcher<()> = dispatcher(GATEWAYS, IDLE_TIMEOUT_SECONDS, "");
     dispatcher.update_endpoints(0.0, true, &list);
     while dispatcher.next_action().is_some() {}
     let megabytes = (allocated_bytes() - before) / BYTES_PER_MEGABYTE;
     let join = |n: usize| {
         let joined = [endpoint(workers + n)];
         let (seconds, ()) = timed(|| dispatcher.update_endpoints(1.0 + n as f64, false, &joined));
-        seconds * MILLISECONDS
+        seconds * MILLISECONDS_PER_SECOND
     };
     let joins = (0..REPEATS).map(join).collect();
     (measurement(workers as f64, vec![megabytes]), measurement(workers as f64, joins))
--- a/crates/capacity-model/benches/slopes/endpoint_list_codec.rs
+++ b/crates/capacity-model/benches/slopes/endpoint_list_codec.rs
@@ -1,12 +1,14 @@
 //! The endpoint list on the wire: bytes of one entry and of all, and the time that reading all takes.
 
-use crate::endpoint_list::{WORKERS, endpoints};
-use crate::measure::{BYTES_PER_KILOBYTE, MILLISECONDS, Options, Slope, measurement, timed};
+use crate::endpoint_list::{WORKER_COUNTS, endpoints};
+use crate::measure::{
+    BYTES_PER_KILOBYTE, MILLISECONDS_PER_SECOND, Options, RunDescription, measurement, timed,
+};
 use milletpath_protocol::registry;
 
 pub fn measure(options: &Options) {
     let (mut complete, mut single, mut reading) = (Vec::new(), Vec::new(), Vec::new());
-    for workers in WORKERS {
+    for workers in WORKER_COUNTS {
         let size = workers as f64;
         let list = endpoints(workers);
         let encoded = registry::write(1, true, &list);
@@ -15,7 +17,7 @@
         single.push(measurement(size, vec![change.len() as f64]));
         reading.push(measurement(size, reading_times(&encoded[..encoded.len() - 1], workers)));
     }
-    let slope = Slope {
+    let description = RunDescription {
         name: "list-whole",
         mechanism: "list of workers as a stream of editions (`protocol::registry`)",
         quantity: "the whole list, once",
@@ -25,15 +27,15 @@
         fixed: &[],
         group: "registry",
     };
-    slope.write(options, complete);
-    Slope { name: "list-entry", quantity: "one entry that changes", unit: "bytes", ..slope }
+    description.write(options, complete);
+    RunDescription { name: "list-entry", quantity: "one entry that changes", unit: "bytes", ..description }
         .write(options, single);
-    Slope {
+    RunDescription {
         name: "list-read",
         quantity: "the whole list is read",
         unit: "ms",
         method: "thread clock",
-        ..slope
+        ..description
     }
     .write(options, reading);
 }
@@ -44,7 +46,7 @@
     let read = |_| {
         let (seconds, revision) = timed(|| registry::read(encoded).expect("a line of the list"));
         assert_eq!(revision.endpoints.len(), workers);
-        seconds * MILLISECONDS
+        seconds * MILLISECONDS_PER_SECOND
     };
     (0..REPEATS).map(read).collect()
 }
--- a/crates/capacity-model/benches/slopes/event_queue.rs
+++ b/crates/capacity-model/benches/slopes/event_queue.rs
@@ -6,14 +6,14 @@
 
 /// When an event happens.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Due {
+struct EventKey {
     tick: u64,
     serial: u64,
 }
 
 /// Events by time.
 pub struct EventQueue<E> {
-    events: BTreeMap<Due, E>,
+    events: BTreeMap<EventKey, E>,
     next_serial: u64,
 }
 
@@ -24,14 +24,14 @@
 
     /// Adds an event at a time in seconds.
     pub fn push(&mut self, time: f64, event: E) {
-        let due = Due { tick: (time * TICKS_PER_SECOND) as u64, serial: self.next_serial };
+        let key = EventKey { tick: (time * TICKS_PER_SECOND) as u64, serial: self.next_serial };
         self.next_serial += 1;
-        self.events.insert(due, event);
+        self.events.insert(key, event);
     }
 
     /// The earliest event with its time in seconds.
     pub fn pop(&mut self) -> Option<(f64, E)> {
-        let (due, event) = self.events.pop_first()?;
-        Some((due.tick as f64 / TICKS_PER_SECOND, event))
+        let (key, event) = self.events.pop_first()?;
+        Some((key.tick as f64 / TICKS_PER_SECOND, event))
     }
 }
--- a/crates/capacity-model/benches/slopes/fleet_load.rs
+++ b/crates/capacity-model/benches/slopes/fleet_load.rs
@@ -20,7 +20,7 @@
 }
 
 /// One of 1,100 gateways, with calls of which most functions receive few.
-pub const TARGET: FleetLoad = FleetLoad {
+pub const TARGET_LOAD: FleetLoad = FleetLoad {
     gateways: 1_100,
     workers: 9_100,
     functions: 33_000,
--- a/crates/capacity-model/benches/slopes/measure.rs
+++ b/crates/capacity-model/benches/slopes/measure.rs
@@ -9,8 +9,8 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-pub const MILLISECONDS: f64 = 1e3;
-pub const MICROSECONDS: f64 = 1e6;
+pub const MILLISECONDS_PER_SECOND: f64 = 1e3;
+pub const MICROSECONDS_PER_SECOND: f64 = 1e6;
 pub const BYTES_PER_MEGABYTE: f64 = 1e6;
 pub const BYTES_PER_KILOBYTE: f64 = 1e3;
 
@@ -73,7 +73,7 @@
 
 /// The description of a slope. All of it but the group's name is stored in the run's file and printed on the page.
 #[derive(Clone, Copy)]
-pub struct Slope {
+pub struct RunDescription {
     /// Name of the run and of its file.
     pub name: &'static str,
     /// The mechanism that causes the cost.
@@ -92,14 +92,19 @@
     pub group: &'static str,
 }
 
-impl Slope {
+impl RunDescription {
     /// Writes the run to its file, and one line a size to standard output.
     pub fn write(&self, options: &Options, measurements: Vec<Measurement>) {
         self.write_run(options, None, measurements);
     }
 
     /// The same with a second axis.
-    pub fn write_two_axes(&self, options: &Options, second_axis: &str, measurements: Vec<Measurement>) {
+    pub fn write_with_second_axis(
+        &self,
+        options: &Options,
+        second_axis: &str,
+        measurements: Vec<Measurement>,
+    ) {
         self.write_run(options, Some(second_axis), measurements);
     }
 
--- a/crates/capacity-model/benches/slopes/membership.rs
+++ b/crates/capacity-model/benches/slopes/membership.rs
@@ -1,32 +1,34 @@
 //! Membership of a whole fleet in simulated time: settled, and in the first seconds after all gateways started.
 
-use crate::measure::{BYTES_PER_KILOBYTE, MILLISECONDS, Options, Slope, cpu_seconds, measurement};
-use crate::membership_proof::{CONFIG, proof_times};
+use crate::measure::{
+    BYTES_PER_KILOBYTE, MILLISECONDS_PER_SECOND, Options, RunDescription, cpu_seconds, measurement,
+};
+use crate::membership_proof::{MEMBERSHIP_CONFIG, proof_times};
 use milletpath_capacity_model::run::Measurement;
 use milletpath_test_support::simulated_network::SimulatedNetwork;
 
-const GATEWAYS: [usize; 7] = [24, 50, 100, 150, 200, 300, 400];
+const GATEWAY_COUNTS: [usize; 7] = [24, 50, 100, 150, 200, 300, 400];
 
 /// One gateway of so many is a seed that new ones contact.
 const GATEWAYS_PER_SEED: usize = 8;
 
 /// Seconds of CPU that all sizes may take; a size that would take longer is left out, and reported so.
-const MAX_CPU_SECONDS: f64 = 420.0;
+const CPU_SECONDS_BUDGET: f64 = 420.0;
 
 /// Past this fraction of them only the start of a fleet is simulated, which costs most.
-const FRACTION_FOR_SETTLED: f64 = 0.8;
+const SETTLED_BUDGET_FRACTION: f64 = 0.8;
 
 /// By how much a size's cost exceeds that of the size before, at most: it grows with the cube of the gateways.
-const COST_GROWTH: f64 = 4.0;
+const MAX_COST_GROWTH: f64 = 4.0;
 
 /// Simulated seconds after which a fleet counts as settled, and the seconds of a window.
-const SETTLED: f64 = 50.0;
-const WINDOW: f64 = 5.0;
-const STARTING_WINDOWS: usize = 2;
-const SETTLED_WINDOWS: usize = 3;
+const SETTLED_AFTER_SECONDS: f64 = 50.0;
+const WINDOW_SECONDS: f64 = 5.0;
+const STARTING_WINDOW_COUNT: usize = 2;
+const SETTLED_WINDOW_COUNT: usize = 3;
 
 /// Gateways whose quorum proof is measured.
-const PROOFS: usize = 5;
+const MEASURED_GATEWAYS: usize = 5;
 
 /// Cost of a gateway in one window, per second.
 struct Window {
@@ -50,11 +52,11 @@
 
 fn run_window(network: &mut SimulatedNetwork) -> Window {
     let (before, start) = (traffic(network), cpu_seconds());
-    network.run_until(network.now + WINDOW);
+    network.run_until(network.now + WINDOW_SECONDS);
     let (cpu_seconds, after) = (cpu_seconds() - start, traffic(network));
-    let gateway_seconds = WINDOW * network.nodes.len() as f64;
+    let gateway_seconds = WINDOW_SECONDS * network.nodes.len() as f64;
     Window {
-        cpu_millis: cpu_seconds * MILLISECONDS / gateway_seconds,
+        cpu_millis: cpu_seconds * MILLISECONDS_PER_SECOND / gateway_seconds,
         kilobytes: (after.bytes - before.bytes) as f64 / gateway_seconds / BYTES_PER_KILOBYTE,
         datagrams: (after.datagrams - before.datagrams) as f64 / gateway_seconds,
     }
@@ -103,7 +105,7 @@
     /// The first seconds of a fleet; the fraction of the gateways that have a quorum then.
     fn add_starting(&mut self, network: &mut SimulatedNetwork) -> f64 {
         let size = network.nodes.len() as f64;
-        let windows = run_windows(network, STARTING_WINDOWS);
+        let windows = run_windows(network, STARTING_WINDOW_COUNT);
         self.starting_cpu.push(measured(size, &windows, |window| window.cpu_millis));
         self.starting_bytes.push(measured(size, &windows, |window| window.kilobytes));
         quorum_fraction(network)
@@ -111,8 +113,8 @@
 
     fn add_settled(&mut self, network: &mut SimulatedNetwork) {
         let size = network.nodes.len() as f64;
-        network.run_until(SETTLED);
-        let windows = run_windows(network, SETTLED_WINDOWS);
+        network.run_until(SETTLED_AFTER_SECONDS);
+        let windows = run_windows(network, SETTLED_WINDOW_COUNT);
         self.settled_cpu.push(measured(size, &windows, |window| window.cpu_millis));
         self.settled_bytes.push(measured(size, &windows, |window| window.kilobytes));
         self.settled_datagrams.push(measured(size, &windows, |window| window.datagrams));
@@ -121,21 +123,21 @@
             let membership = network.nodes[index].membership.as_ref().expect("it is up");
             proof_times(membership, 1)
         };
-        self.proofs.push(measurement(size, (0..PROOFS).flat_map(proof).collect()));
+        self.proofs.push(measurement(size, (0..MEASURED_GATEWAYS).flat_map(proof).collect()));
     }
 
     fn write(self, options: &Options) {
-        STARTING.write(options, self.starting_cpu);
-        Slope {
+        STARTING_CPU.write(options, self.starting_cpu);
+        RunDescription {
             name: "peers-bytes-starting",
             quantity: "bytes a second that one gateway sends; it hears as many",
             unit: "kB",
             method: "datagrams sealed as in service",
-            ..STARTING
+            ..STARTING_CPU
         }
         .write(options, self.starting_bytes);
         SETTLED_CPU.write(options, self.settled_cpu);
-        Slope {
+        RunDescription {
             name: "peers-bytes",
             quantity: "bytes a second that one gateway sends; it hears as many",
             unit: "kB",
@@ -143,7 +145,7 @@
             ..SETTLED_CPU
         }
         .write(options, self.settled_bytes);
-        Slope {
+        RunDescription {
             name: "peers-letters",
             quantity: "letters a second that one gateway sends; it hears as many",
             unit: "letters",
@@ -151,7 +153,7 @@
             ..SETTLED_CPU
         }
         .write(options, self.settled_datagrams);
-        Slope {
+        RunDescription {
             name: "peers-age",
             mechanism: "words of all go round with every letter (`peers::probing`)",
             quantity: "age of a word, p99",
@@ -160,7 +162,7 @@
             ..SETTLED_CPU
         }
         .write(options, self.ages);
-        Slope {
+        RunDescription {
             name: "peers-proof",
             mechanism: "proof by a majority of all (`peers::backing`)",
             quantity: "one look at what is proven, as words stood after 65 s",
@@ -171,7 +173,7 @@
     }
 }
 
-const STARTING: Slope = Slope {
+const STARTING_CPU: RunDescription = RunDescription {
     name: "peers-cpu-starting",
     mechanism: "a full view and a proof by all, in the first 10 s after all began (`peers`)",
     quantity: "CPU a second of one gateway",
@@ -183,21 +185,24 @@
     group: "peers",
 };
 
-const SETTLED_CPU: Slope =
-    Slope { name: "peers-cpu", mechanism: "a full view and a proof by all, settled (`peers`)", ..STARTING };
+const SETTLED_CPU: RunDescription = RunDescription {
+    name: "peers-cpu",
+    mechanism: "a full view and a proof by all, settled (`peers`)",
+    ..STARTING_CPU
+};
 
 pub fn measure(options: &Options) {
     let start = cpu_seconds();
     let mut measurements = Measurements::default();
     let mut last_cost = 0.0;
-    for gateways in GATEWAYS {
-        let (spent, expected) = (cpu_seconds() - start, last_cost * COST_GROWTH);
-        if spent + expected > MAX_CPU_SECONDS {
-            let left = MAX_CPU_SECONDS - spent;
+    for gateways in GATEWAY_COUNTS {
+        let (spent, expected) = (cpu_seconds() - start, last_cost * MAX_COST_GROWTH);
+        if spent + expected > CPU_SECONDS_BUDGET {
+            let left = CPU_SECONDS_BUDGET - spent;
             println!("{gateways} gateways left out: some {expected:.0} s of CPU, {left:.0} s left");
             break;
         }
-        let settled_before = start + MAX_CPU_SECONDS * FRACTION_FOR_SETTLED;
+        let settled_before = start + CPU_SECONDS_BUDGET * SETTLED_BUDGET_FRACTION;
         measure_size(gateways, options.seed, settled_before, &mut measurements);
         last_cost = cpu_seconds() - start - spent;
         println!("{gateways} gateways: {last_cost:.0} s of CPU");
@@ -208,7 +213,7 @@
 /// Simulates one size; the settled fleet only if the start ends before a time of the CPU clock.
 fn measure_size(gateways: usize, seed: u64, settled_before: f64, measurements: &mut Measurements) {
     let seeds = 1.max(gateways / GATEWAYS_PER_SEED);
-    let mut network = SimulatedNetwork::new(gateways, seeds, CONFIG, seed);
+    let mut network = SimulatedNetwork::new(gateways, seeds, MEMBERSHIP_CONFIG, seed);
     network.start_all();
     let starting = measurements.add_starting(&mut network);
     if cpu_seconds() >= settled_before {
--- a/crates/capacity-model/benches/slopes/membership_proof.rs
+++ b/crates/capacity-model/benches/slopes/membership_proof.rs
@@ -1,7 +1,8 @@
 //! The quorum proof of one gateway against the number of members, the memory of its members, and the opening of a datagram.
 
 use crate::measure::{
-    BYTES_PER_MEGABYTE, MICROSECONDS, MILLISECONDS, Options, Slope, allocated_bytes, measurement, timed,
+    BYTES_PER_MEGABYTE, MICROSECONDS_PER_SECOND, MILLISECONDS_PER_SECOND, Options, RunDescription,
+    allocated_bytes, measurement, timed,
 };
 use milletpath_membership::datagram::{self, Assertion, Datagram, Identity, Key, kind};
 use milletpath_membership::{Membership, MembershipConfig};
@@ -11,11 +12,11 @@
 use std::net::SocketAddr;
 
 /// The configuration of a large fleet; times in seconds.
-pub const CONFIG: MembershipConfig =
+pub const MEMBERSHIP_CONFIG: MembershipConfig =
     MembershipConfig { period: 0.4, lease: 12.0, floor: 0.5, budget_window: 10.0 };
 
 /// Seconds by which time advances until the gateway probes another.
-const TICK: f64 = 0.05;
+const TICK_SECONDS: f64 = 0.05;
 
 fn identity(index: usize, max_gateways: usize) -> Identity {
     let (high, low) = ((index / 250) as u8, (index % 250) as u8 + 1);
@@ -46,8 +47,8 @@
 }
 
 /// A gateway that knows so many members and has a fresh assertion of each.
-fn informed_member(members: usize, assertions: Assertions, seed: u64) -> Membership {
-    let mut membership = Membership::new(identity(0, members), CONFIG, Vec::new(), seed, 0.0);
+fn member_with_fresh_assertions(members: usize, assertions: Assertions, seed: u64) -> Membership {
+    let mut membership = Membership::new(identity(0, members), MEMBERSHIP_CONFIG, Vec::new(), seed, 0.0);
     for index in 1..members {
         let mut announcement = Datagram::new(identity(index, members), 1, kind::ANNOUNCE, 0);
         announcement.sequence = 1;
@@ -75,7 +76,7 @@
 fn next_probe(membership: &mut Membership) -> Probe {
     let mut now = 0.002;
     loop {
-        now += TICK;
+        now += TICK_SECONDS;
         membership.tick(now);
         let ping =
             std::iter::from_fn(|| membership.next_outgoing()).find(|sent| sent.datagram.kind == kind::PING);
@@ -111,7 +112,7 @@
     let mut membership = membership.clone();
     // The clock does not advance: all assertions stay as fresh as they are.
     let _ = membership.quota_fraction(0.0);
-    let check = |_| timed(|| _ = black_box(membership.quota_fraction(0.0))).0 * MILLISECONDS;
+    let check = |_| timed(|| _ = black_box(membership.quota_fraction(0.0))).0 * MILLISECONDS_PER_SECOND;
     (0..repeats).map(check).collect()
 }
 
@@ -126,16 +127,16 @@
     for members in MEMBERS {
         let size = members as f64;
         let before = allocated_bytes();
-        let membership = informed_member(members, Assertions::Equal, options.seed);
+        let membership = member_with_fresh_assertions(members, Assertions::Equal, options.seed);
         let megabytes = (allocated_bytes() - before) / BYTES_PER_MEGABYTE;
         memory.push(measurement(size, vec![megabytes]));
         assert_eq!(membership.fresh_instances().len(), members - 1, "a fresh assertion of each");
         settled.push(measurement(size, proof_times(&membership, 15)));
         drop(membership);
-        let membership = informed_member(members, Assertions::Different, options.seed);
+        let membership = member_with_fresh_assertions(members, Assertions::Different, options.seed);
         starting.push(measurement(size, proof_times(&membership, 3)));
     }
-    let slope = Slope {
+    let description = RunDescription {
         name: "proof-settled",
         mechanism: "proof by a majority of all (`peers::backing`)",
         quantity: "one look at what is proven, all words alike",
@@ -145,21 +146,21 @@
         fixed: &[("lease", 12.0)],
         group: "proof",
     };
-    slope.write(options, settled);
-    Slope {
+    description.write(options, settled);
+    RunDescription {
         name: "proof-starting",
         quantity: "one look at what is proven, no two words alike (`differs`)",
         method: "thread clock; members and their words brought by letters; 3 looks",
-        ..slope
+        ..description
     }
     .write(options, starting);
-    Slope {
+    RunDescription {
         name: "peers-memory",
         mechanism: "a full view of all gateways (`peers::member`)",
         quantity: "view of all, settled",
         unit: "MB",
         method: "bytes by a counting allocator; once, as it does not vary",
-        ..slope
+        ..description
     }
     .write(options, memory);
 }
@@ -173,10 +174,10 @@
     let measure_size = |assertions| {
         let sealed = datagram::seal(&key, &datagram_with(assertions)).expect("it fits");
         let open = || (0..DATAGRAMS).for_each(|_| _ = black_box(datagram::open(&key, black_box(&sealed))));
-        let times = (0..REPEATS).map(|_| timed(open).0 * MICROSECONDS / DATAGRAMS as f64);
+        let times = (0..REPEATS).map(|_| timed(open).0 * MICROSECONDS_PER_SECOND / DATAGRAMS as f64);
         measurement(sealed.len() as f64, times.collect())
     };
-    Slope {
+    RunDescription {
         name: "letter-open",
         mechanism: "seal of a letter (`peers::letter`)",
         quantity: "a letter is opened and read",
--- a/crates/capacity-model/benches/slopes/shared_budgets.rs
+++ b/crates/capacity-model/benches/slopes/shared_budgets.rs
@@ -1,21 +1,21 @@
 //! Budgets of attempts at each worker, which the gateways share, inside the dispatcher.
 
-use crate::endpoint_list::{WORKERS, dispatcher, endpoint, endpoints};
-use crate::measure::{MILLISECONDS, Options, Slope, measurement, timed};
+use crate::endpoint_list::{WORKER_COUNTS, dispatcher, endpoint, endpoints};
+use crate::measure::{MILLISECONDS_PER_SECOND, Options, RunDescription, measurement, timed};
 use milletpath_capacity_model::run::Measurement;
 use milletpath_dispatcher::dispatcher::Dispatcher;
 use milletpath_gateway::budget_sharing::BudgetSharing;
 use milletpath_membership::QuotaFraction;
 
 /// Seconds for which an assertion counts towards a quorum in a large fleet.
-pub const LEASE: f64 = 12.0;
+pub const LEASE_SECONDS: f64 = 12.0;
 
 /// Seconds between two ticks of the membership link, and the ticks in a second.
-pub const TICK: f64 = 0.04;
+pub const TICK_SECONDS: f64 = 0.04;
 const TICKS_PER_SECOND: usize = 25;
 
 const GATEWAYS: usize = 1_100;
-const IDLE_TIMEOUT: f64 = 60.0;
+const IDLE_TIMEOUT_SECONDS: f64 = 60.0;
 const REPEATS: usize = 5;
 
 const LIMITS: &str = "limits {\n  in_flight = 2200\n}\n";
@@ -38,7 +38,7 @@
 
 impl Gateway {
     fn new(workers: usize) -> Self {
-        let mut dispatcher = dispatcher(GATEWAYS, IDLE_TIMEOUT, LIMITS);
+        let mut dispatcher = dispatcher(GATEWAYS, IDLE_TIMEOUT_SECONDS, LIMITS);
         dispatcher.update_endpoints(0.0, true, &endpoints(workers));
         let mut gateway =
             Self { dispatcher, sharing: budget_sharing(), others: (2..=GATEWAYS as u64).collect(), now: 0.0 };
@@ -55,18 +55,18 @@
     fn steady_second(&mut self) -> f64 {
         let ticks = || {
             for _ in 0..TICKS_PER_SECOND {
-                self.now += TICK;
+                self.now += TICK_SECONDS;
                 self.tick();
                 while self.sharing.next_message().is_some() {}
             }
         };
-        timed(ticks).0 * MILLISECONDS
+        timed(ticks).0 * MILLISECONDS_PER_SECOND
     }
 
     /// Milliseconds that the first tick after a worker joined takes.
     fn join(&mut self, worker: usize) -> f64 {
         self.dispatcher.update_endpoints(self.now, false, &[endpoint(worker)]);
-        timed(|| self.tick()).0 * MILLISECONDS
+        timed(|| self.tick()).0 * MILLISECONDS_PER_SECOND
     }
 }
 
@@ -76,12 +76,12 @@
          registry = \"127.0.0.1:1\" }}\n{LIMITS}"
     );
     let config = milletpath_config::read(&text).unwrap_or_else(|errors| panic!("configuration: {errors:?}"));
-    BudgetSharing::new(&config, 1, LEASE, 0.0)
+    BudgetSharing::new(&config, 1, LEASE_SECONDS, 0.0)
 }
 
 pub fn measure(options: &Options) {
-    let (steady, joins) = WORKERS.into_iter().map(measure_size).unzip();
-    let slope = Slope {
+    let (steady, joins) = WORKER_COUNTS.into_iter().map(measure_size).unzip();
+    let description = RunDescription {
         name: "budgets-join",
         mechanism: "budgets of shots at each worker are looked up one among all (`Sharing::follow`)",
         quantity: "one worker joins: time inside the desk for budgets",
@@ -91,14 +91,14 @@
         fixed: &[("gateways", 1_100.0)],
         group: "budgets",
     };
-    slope.write(options, joins);
-    Slope {
+    description.write(options, joins);
+    RunDescription {
         name: "budgets-cpu",
         mechanism: "budgets of shots at each worker, all of them looked at 25 times a second \
                     (`Sharing::turn`)",
         quantity: "CPU a second of one gateway",
         method: "thread clock; five seconds of 25 looks; in_flight stated, nothing wanted or lent",
-        ..slope
+        ..description
     }
     .write(options, steady);
 }
--- a/crates/capacity-model/benches/slopes/simulated_cluster.rs
+++ b/crates/capacity-model/benches/slopes/simulated_cluster.rs
@@ -1,7 +1,7 @@
 //! The workers' side of control, and the store, in the simulator: a fleet scaled down as a whole, so that a gateway has as
 //! many calls and as many workers to choose among as at the target size.
 
-use crate::measure::{Options, Slope, measurement};
+use crate::measure::{Options, RunDescription, measurement};
 use milletpath_capacity_model::run::Measurement;
 use milletpath_emulator::scenario_file::{self, Scenario};
 use milletpath_history_checker::HistoryEvent;
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-const SEEDS: u64 = 3;
+const SEED_COUNT: u64 = 3;
 
 /// Calls per second, workers and functions for each gateway: as at the target size.
 const CALLS_PER_GATEWAY: f64 = 145.0;
@@ -20,14 +20,14 @@
 const ZIPF_EXPONENT: f64 = 1.1;
 
 /// Gateways in the scenario that is scaled up.
-const GATEWAYS_OF_SCENARIO: f64 = 2.0;
+const SCENARIO_GATEWAYS: f64 = 2.0;
 
 /// Numbers of gateways of fleets whose calls grow with them.
-const GATEWAYS: [usize; 5] = [2, 5, 10, 20, 40];
+const GATEWAY_COUNTS: [usize; 5] = [2, 5, 10, 20, 40];
 
-/// Calls per second of a fleet of [`GATEWAYS_OF_CONSTANT_FLEET`].
-const CALLS: [f64; 5] = [145.0, 290.0, 580.0, 1_160.0, 1_740.0];
-const GATEWAYS_OF_CONSTANT_FLEET: usize = 10;
+/// Calls per second of a fleet of [`CONSTANT_FLEET_GATEWAYS`].
+const FLEET_CALL_RATES: [f64; 5] = [145.0, 290.0, 580.0, 1_160.0, 1_740.0];
+const CONSTANT_FLEET_GATEWAYS: usize = 10;
 
 /// A fleet of so many gateways with so many calls per second.
 fn scenario(gateways: usize, calls_per_second: f64) -> Scenario {
@@ -39,7 +39,7 @@
     scenario.functions = FUNCTIONS_PER_GATEWAY * gateways;
     scenario.zipf = ZIPF_EXPONENT;
     scenario.traffic.rate = calls_per_second;
-    scale_store(&mut scenario, gateways as f64 / GATEWAYS_OF_SCENARIO);
+    scale_store(&mut scenario, gateways as f64 / SCENARIO_GATEWAYS);
     scenario.groups.iter_mut().for_each(|group| group.quota = None);
     scenario.rules.load_rate_limit = None;
     scenario
@@ -54,14 +54,14 @@
 }
 
 /// What one simulation showed.
-struct ClusterReport {
+struct ClusterMetrics {
     health_checks_per_call: f64,
     load_requests_per_call: f64,
     connections_per_worker: f64,
     fetches_per_second: f64,
 }
 
-impl ClusterReport {
+impl ClusterMetrics {
     fn new(scenario: &Scenario, report: &SimulationReport) -> Self {
         let calls = report.counts.calls.max(1) as f64;
         Self {
@@ -87,18 +87,18 @@
 }
 
 /// Simulates one size with several seeds.
-fn simulate(options: &Options, gateways: usize, calls_per_second: f64) -> Vec<ClusterReport> {
+fn simulate(options: &Options, gateways: usize, calls_per_second: f64) -> Vec<ClusterMetrics> {
     let simulate_seed = |n| {
         let scenario = scenario(gateways, calls_per_second);
         let report = play(&scenario, options.seed + n);
         eprintln!("{gateways} gateways, {calls_per_second} calls/s: service {:.3}", report.counts.service());
-        ClusterReport::new(&scenario, &report)
+        ClusterMetrics::new(&scenario, &report)
     };
-    (0..SEEDS).map(simulate_seed).collect()
+    (0..SEED_COUNT).map(simulate_seed).collect()
 }
 
-fn measured(size: f64, reports: &[ClusterReport], value: fn(&ClusterReport) -> f64) -> Measurement {
-    measurement(size, reports.iter().map(value).collect())
+fn measured(size: f64, results: &[ClusterMetrics], value: fn(&ClusterMetrics) -> f64) -> Measurement {
+    measurement(size, results.iter().map(value).collect())
 }
 
 pub fn measure(options: &Options) {
@@ -106,7 +106,7 @@
     constant_fleet(options);
 }
 
-const HEALTH_CHECKS: Slope = Slope {
+const HEALTH_CHECKS: RunDescription = RunDescription {
     name: "worker-probes",
     mechanism: "probe before a shot where nothing was heard for 1 s (`Router::place`)",
     quantity: "probes a call",
@@ -122,7 +122,7 @@
     group: "town",
 };
 
-const FETCHES: Slope = Slope {
+const FETCHES: RunDescription = RunDescription {
     name: "store-loads",
     mechanism: "loads that shots and orders begin (`Router::order`, `Router::shoot`)",
     quantity: "fetches from the store a second",
@@ -136,17 +136,17 @@
 fn growing_fleet(options: &Options) {
     let (mut health_checks, mut load_requests) = (Vec::new(), Vec::new());
     let (mut connections, mut fetches) = (Vec::new(), Vec::new());
-    for gateways in GATEWAYS {
+    for gateways in GATEWAY_COUNTS {
         let size = gateways as f64;
         let calls = CALLS_PER_GATEWAY * size;
-        let reports = simulate(options, gateways, calls);
-        health_checks.push(measured(size, &reports, |report| report.health_checks_per_call));
-        load_requests.push(measured(size, &reports, |report| report.load_requests_per_call));
-        connections.push(measured(size, &reports, |report| report.connections_per_worker));
-        fetches.push(measured(calls, &reports, |report| report.fetches_per_second));
+        let results = simulate(options, gateways, calls);
+        health_checks.push(measured(size, &results, |metrics| metrics.health_checks_per_call));
+        load_requests.push(measured(size, &results, |metrics| metrics.load_requests_per_call));
+        connections.push(measured(size, &results, |metrics| metrics.connections_per_worker));
+        fetches.push(measured(calls, &results, |metrics| metrics.fetches_per_second));
     }
     HEALTH_CHECKS.write(options, health_checks);
-    Slope {
+    RunDescription {
         name: "worker-orders",
         mechanism: "orders to load (`Router::order`)",
         quantity: "orders a call",
@@ -154,7 +154,7 @@
         ..HEALTH_CHECKS
     }
     .write(options, load_requests);
-    Slope {
+    RunDescription {
         name: "worker-connections",
         mechanism: "a connection of each gateway that sent something in the last 30 s (`gateway::pool`)",
         quantity: "connections at a worker",
@@ -162,14 +162,15 @@
         ..HEALTH_CHECKS
     }
     .write(options, connections);
-    Slope { name: "store-loads-fleet", fixed: HEALTH_CHECKS.fixed, ..FETCHES }.write(options, fetches);
+    RunDescription { name: "store-loads-fleet", fixed: HEALTH_CHECKS.fixed, ..FETCHES }
+        .write(options, fetches);
 }
 
 /// More calls for a fleet of constant size.
 fn constant_fleet(options: &Options) {
     let measure_calls = |calls| {
-        let reports = simulate(options, GATEWAYS_OF_CONSTANT_FLEET, calls);
-        measured(calls, &reports, |report| report.fetches_per_second)
+        let results = simulate(options, CONSTANT_FLEET_GATEWAYS, calls);
+        measured(calls, &results, |metrics| metrics.fetches_per_second)
     };
-    FETCHES.write(options, CALLS.map(measure_calls).to_vec());
+    FETCHES.write(options, FLEET_CALL_RATES.map(measure_calls).to_vec());
 }
--- a/crates/capacity-model/benches/slopes/simulated_workers.rs
+++ b/crates/capacity-model/benches/slopes/simulated_workers.rs
@@ -10,23 +10,23 @@
 use std::ops::Range;
 
 /// Round trip to a worker in seconds, by region.
-const ROUND_TRIPS: [f64; 4] = [0.001, 0.030, 0.080, 0.150];
+const ROUND_TRIP_SECONDS: [f64; 4] = [0.001, 0.030, 0.080, 0.150];
 
 /// Calls per second of the whole fleet.
 const FLEET_CALLS_PER_SECOND: f64 = 160_000.0;
 
 /// Calls of other gateways that a worker runs on average.
-const OTHERS_IN_FLIGHT: f64 = 1.0;
+const MEAN_IN_FLIGHT_OF_OTHERS: f64 = 1.0;
 
 /// Calls that a worker runs at full utilization.
-const FULL_LOAD: f64 = 8.0;
+const IN_FLIGHT_AT_FULL_UTILIZATION: f64 = 8.0;
 
 /// Load time of a function in seconds.
-const LOAD_TIME: Range<f64> = 0.2..0.6;
+const LOAD_SECONDS: Range<f64> = 0.2..0.6;
 
 /// Round trip to a worker, in seconds.
 pub fn round_trip(worker: usize) -> f64 {
-    ROUND_TRIPS[worker % ROUND_TRIPS.len()]
+    ROUND_TRIP_SECONDS[worker % ROUND_TRIP_SECONDS.len()]
 }
 
 /// What one gateway can see of the workers.
@@ -65,11 +65,11 @@
 
     /// A load report, which counts calls of other gateways too.
     pub fn report(&self, worker: usize, rng: &mut ChaCha8Rng) -> LoadReport {
-        let others = Exp::new(1.0 / OTHERS_IN_FLIGHT).expect("a mean").sample(rng).round();
+        let others = Exp::new(1.0 / MEAN_IN_FLIGHT_OF_OTHERS).expect("a mean").sample(rng).round();
         let in_flight = self.in_flight[worker] + others;
         LoadReport {
             in_flight: Some(in_flight),
-            utilization: Some((in_flight / FULL_LOAD).min(1.0)),
+            utilization: Some((in_flight / IN_FLIGHT_AT_FULL_UTILIZATION).min(1.0)),
             ..LoadReport::default()
         }
     }
@@ -79,18 +79,18 @@
     pub fn use_function(&mut self, now: f64, function: usize, worker: usize, rng: &mut ChaCha8Rng) -> bool {
         let weight = (function as f64).powf(-self.zipf_exponent);
         let calls_per_second = FLEET_CALLS_PER_SECOND * weight / self.total_weight;
-        let by_itself = self.loaded_until.get(&(function, worker)).is_some_and(|until| now < *until);
+        let by_this_gateway = self.loaded_until.get(&(function, worker)).is_some_and(|until| now < *until);
         let used_by_others = 1.0 - (-calls_per_second * self.idle_timeout).exp();
-        let by_others = !by_itself && rng.random::<f64>() < used_by_others;
+        let by_others = !by_this_gateway && rng.random::<f64>() < used_by_others;
         let until = now + self.idle_timeout;
         self.loaded_until.insert((function, worker), until);
         self.loaded_anywhere_until.insert(function, until);
-        by_itself || by_others
+        by_this_gateway || by_others
     }
 
     /// Seconds that a load takes; none if the function is loaded.
     pub fn load_time(is_loaded: bool, rng: &mut ChaCha8Rng) -> f64 {
-        if is_loaded { 0.0 } else { rng.random_range(LOAD_TIME) }
+        if is_loaded { 0.0 } else { rng.random_range(LOAD_SECONDS) }
     }
 
     /// Whether the gateway knows of no worker that holds the function.
--- a/crates/capacity-model/benches/slopes/usage_reports.rs
+++ b/crates/capacity-model/benches/slopes/usage_reports.rs
@@ -1,8 +1,10 @@
 //! Usage reports among the gateways of a fleet, in simulated time: messages arrive at once, and only the first gateway's CPU
 //! is measured.
 
-use crate::measure::{BYTES_PER_KILOBYTE, MILLISECONDS, Options, Slope, measurement, timed};
-use crate::shared_budgets::{LEASE, TICK};
+use crate::measure::{
+    BYTES_PER_KILOBYTE, MILLISECONDS_PER_SECOND, Options, RunDescription, measurement, timed,
+};
+use crate::shared_budgets::{LEASE_SECONDS, TICK_SECONDS};
 use milletpath_capacity_model::run::Measurement;
 use milletpath_shared_budgets::{Entitlement, FunctionConcurrency, SharedBudgets};
 
@@ -10,7 +12,7 @@
 const MESSAGE_OVERHEAD_BYTES: f64 = 150.0;
 
 /// The period of reports of a fleet of up to [`GATEWAYS_PER_BASE_PERIOD`], in seconds; it grows with larger fleets.
-const BASE_PERIOD: f64 = 0.8;
+const BASE_PERIOD_SECONDS: f64 = 0.8;
 const GATEWAYS_PER_BASE_PERIOD: f64 = 48.0;
 
 /// Periods that are not measured, and then those that are.
@@ -20,7 +22,7 @@
 /// Concurrency of each function at each gateway.
 const CONCURRENCY: f64 = 0.05;
 
-const SEEDS: u64 = 3;
+const SEED_COUNT: u64 = 3;
 const SEED_STEP: u64 = 1_000;
 
 /// A quorum of the whole fleet, which does not expire.
@@ -28,7 +30,7 @@
     Entitlement { fraction: 1.0, floor_fraction: 0.5, valid_until: f64::INFINITY };
 
 /// What the reports of a fleet came to.
-struct UsageReport {
+struct ReportingMetrics {
     /// Seconds between two reports of a gateway.
     period: f64,
     /// Kilobytes per second that a gateway sends.
@@ -85,7 +87,7 @@
             functions,
             seed,
             gateways: Vec::new(),
-            period: BASE_PERIOD * (size as f64 / GATEWAYS_PER_BASE_PERIOD).max(1.0),
+            period: BASE_PERIOD_SECONDS * (size as f64 / GATEWAYS_PER_BASE_PERIOD).max(1.0),
             now: 0.0,
             next_tick: 0.0,
             totals: Totals::default(),
@@ -105,7 +107,7 @@
         self.now >= self.warm_up_end()
     }
 
-    fn run(mut self) -> UsageReport {
+    fn run(mut self) -> ReportingMetrics {
         while self.now < self.end() {
             self.advance();
             if self.is_measured() && self.counts_before.is_none() {
@@ -123,8 +125,8 @@
 
     /// Moves on to the next report or start of a gateway.
     fn advance(&mut self) {
-        let reports = self.gateways.iter().map(SharedBudgets::next_usage_report);
-        let next_report = reports.fold(f64::INFINITY, f64::min);
+        let next_reports = self.gateways.iter().map(SharedBudgets::next_usage_report);
+        let next_report = next_reports.fold(f64::INFINITY, f64::min);
         let next_start = if self.gateways.len() < self.size {
             self.period * self.gateways.len() as f64 / self.size as f64
         } else {
@@ -138,7 +140,7 @@
 
     fn start_gateway(&mut self) {
         let index = self.gateways.len();
-        let mut budgets = SharedBudgets::new(id(index), LEASE, self.seed + index as u64, self.now);
+        let mut budgets = SharedBudgets::new(id(index), LEASE_SECONDS, self.seed + index as u64, self.now);
         budgets.set_entitlement(self.now, ENTITLEMENT, self.others(index));
         self.gateways.push(budgets);
     }
@@ -196,7 +198,7 @@
             if self.is_measured() {
                 self.totals.cpu_seconds += cpu_seconds;
             }
-            self.next_tick += TICK;
+            self.next_tick += TICK_SECONDS;
         }
     }
 
@@ -208,17 +210,17 @@
         })
     }
 
-    fn finish(mut self) -> UsageReport {
+    fn finish(mut self) -> ReportingMetrics {
         assert!(self.totals.messages > 0, "somebody reported");
         let seconds = self.end() - self.warm_up_end();
         let size = self.size as f64;
         let (before, after) = (self.counts_before.unwrap_or_default(), self.message_counts());
         let sent = (after.sent - before.sent) as f64;
         let suppressed = (after.suppressed - before.suppressed) as f64;
-        UsageReport {
+        ReportingMetrics {
             period: seconds * size / self.totals.reports.max(1) as f64,
             kilobytes: self.totals.bytes / seconds / size / BYTES_PER_KILOBYTE,
-            cpu_millis: self.totals.cpu_seconds * MILLISECONDS / seconds,
+            cpu_millis: self.totals.cpu_seconds * MILLISECONDS_PER_SECOND / seconds,
             known_functions: self.known_functions() as f64 / size,
             suppressed: suppressed / (sent + suppressed),
         }
@@ -247,27 +249,27 @@
 }
 
 /// Simulates one size with several seeds.
-fn simulate(options: &Options, gateways: usize, functions: usize) -> Vec<UsageReport> {
-    let seeds = (0..SEEDS).map(|n| options.seed + SEED_STEP * n);
+fn simulate(options: &Options, gateways: usize, functions: usize) -> Vec<ReportingMetrics> {
+    let seeds = (0..SEED_COUNT).map(|n| options.seed + SEED_STEP * n);
     seeds.map(|seed| Simulation::new(gateways, functions, seed).run()).collect()
 }
 
-fn measured(size: usize, reports: &[UsageReport], value: fn(&UsageReport) -> f64) -> Measurement {
-    measurement(size as f64, reports.iter().map(value).collect())
+fn measured(size: usize, results: &[ReportingMetrics], value: fn(&ReportingMetrics) -> f64) -> Measurement {
+    measurement(size as f64, results.iter().map(value).collect())
 }
 
 /// Period, bytes and CPU against the number of gateways.
-pub fn reports(options: &Options) {
-    const GATEWAYS: [usize; 6] = [24, 48, 100, 200, 400, 1_100];
+pub fn measure_gateways(options: &Options) {
+    const GATEWAY_COUNTS: [usize; 6] = [24, 48, 100, 200, 400, 1_100];
     const FUNCTIONS: usize = 30;
     let (mut period, mut bytes, mut cpu) = (Vec::new(), Vec::new(), Vec::new());
-    for gateways in GATEWAYS {
-        let reports = simulate(options, gateways, FUNCTIONS);
-        period.push(measured(gateways, &reports, |report| report.period));
-        bytes.push(measured(gateways, &reports, |report| report.kilobytes));
-        cpu.push(measured(gateways, &reports, |report| report.cpu_millis));
+    for gateways in GATEWAY_COUNTS {
+        let results = simulate(options, gateways, FUNCTIONS);
+        period.push(measured(gateways, &results, |metrics| metrics.period));
+        bytes.push(measured(gateways, &results, |metrics| metrics.kilobytes));
+        cpu.push(measured(gateways, &results, |metrics| metrics.cpu_millis));
     }
-    let slope = Slope {
+    let description = RunDescription {
         name: "counts-period",
         mechanism: "reports of usage to one gateway a bucket (`shares::counts`)",
         quantity: "seconds between two reports of a gateway",
@@ -277,28 +279,28 @@
         fixed: &[("functions that each keeps busy", 30.0)],
         group: "counts",
     };
-    slope.write(options, period);
-    Slope {
+    description.write(options, period);
+    RunDescription {
         name: "counts-bytes",
         quantity: "bytes a second that one gateway sends; it hears as many",
         unit: "kB",
-        ..slope
+        ..description
     }
     .write(options, bytes);
-    Slope {
+    RunDescription {
         name: "counts-cpu",
         quantity: "CPU a second of one gateway",
         unit: "ms",
         method: "thread clock around one core of all, its word of who is there 25 times a second \
                  included; three seeds",
-        ..slope
+        ..description
     }
     .write(options, cpu);
 }
 
 /// Known functions and suppressed messages against the number of functions that all gateways keep busy.
-pub fn functions(options: &Options) {
-    let known = Slope {
+pub fn measure_functions(options: &Options) {
+    let known = RunDescription {
         name: "counts-functions",
         mechanism: "reports of usage to one gateway a bucket, within the bound on its notes \
                     (`shares::counts`, `Shares::send`)",
@@ -310,7 +312,7 @@
         fixed: &[("gateways", 1_100.0)],
         group: "counts-functions",
     };
-    let suppressed = Slope {
+    let suppressed = RunDescription {
         name: "counts-held-back",
         quantity: "notes held back by the bound on bytes",
         unit: "% of all",
@@ -319,8 +321,8 @@
     };
     write_by_functions(options, 1_100, &[10, 30, 100, 330], known, suppressed);
     let fixed = &[("gateways", 24.0)];
-    let known = Slope { name: "counts-functions-24", fixed, ..known };
-    let suppressed = Slope { name: "counts-held-back-24", fixed, ..suppressed };
+    let known = RunDescription { name: "counts-functions-24", fixed, ..known };
+    let suppressed = RunDescription { name: "counts-held-back-24", fixed, ..suppressed };
     write_by_functions(options, 24, &[10, 30, 100, 330, 1_000, 3_300], known, suppressed);
 }
 
@@ -328,14 +330,14 @@
     options: &Options,
     gateways: usize,
     functions: &[usize],
-    known: Slope,
-    suppressed: Slope,
+    known: RunDescription,
+    suppressed: RunDescription,
 ) {
     let measure_size = |functions: &usize| {
-        let reports = simulate(options, gateways, *functions);
+        let results = simulate(options, gateways, *functions);
         (
-            measured(*functions, &reports, |report| report.known_functions),
-            measured(*functions, &reports, |report| 100.0 * report.suppressed),
+            measured(*functions, &results, |metrics| metrics.known_functions),
+            measured(*functions, &results, |metrics| 100.0 * metrics.suppressed),
         )
     };
     let (known_functions, suppressed_percent) = functions.iter().map(measure_size).unzip();
