--- a/crates/capacity-model/src/error.rs
+++ b/crates/capacity-model/src/error.rs
@@ -1,15 +1,16 @@
-//! Errors of reading the inputs of the capacity model and of writing its results. Each names the file and the remedy.
+//! Errors while reading the inputs of the capacity model and writing its results. Each message names the file and,
+//! where there is one, the remedy.
 
 use std::io;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why the tables or the page could not be made.
+/// An error while generating the tables, updating the page or deriving runs.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum CapacityError {
     /// The folder of runs cannot be listed.
-    #[error("{}: can't be read: {source}; name a folder of runs", path.display())]
+    #[error("{}: can't be read: {source}; specify a folder that contains runs", path.display())]
     ReadFolder {
         /// The folder.
         path: PathBuf,
@@ -24,7 +25,7 @@
         /// The cause.
         source: io::Error,
     },
-    /// A result cannot be written.
+    /// A derived run cannot be written.
     #[error("{}: can't be written: {source}", path.display())]
     WriteFile {
         /// The file.
@@ -32,15 +33,15 @@
         /// The cause.
         source: io::Error,
     },
-    /// A run cannot be encoded as JSON.
+    /// A derived run cannot be encoded as JSON.
     #[error("{}: can't be encoded: {source}", path.display())]
     Encode {
-        /// The file that would have been written.
+        /// The file that the run was to be written to.
         path: PathBuf,
         /// The cause.
         source: serde_json::Error,
     },
-    /// The assumptions file is not of the expected form.
+    /// The assumptions file has an invalid format.
     #[error("{}: {source}", path.display())]
     InvalidAssumptions {
         /// The file.
@@ -48,16 +49,16 @@
         /// The cause, with line and column.
         source: serde_json::Error,
     },
-    /// The assumptions file lacks a parameter.
-    #[error("{}: {key} is missing; add it to assumed", path.display())]
+    /// A parameter is missing from the assumptions file.
+    #[error("{}: {key} is missing; add it to `assumed`", path.display())]
     MissingParameter {
         /// The file.
         path: PathBuf,
         /// Key of the parameter.
         key: &'static str,
     },
-    /// The assumptions file holds a parameter that the model does not use.
-    #[error("{}: {key} is not used by the model; remove it from assumed", path.display())]
+    /// The assumptions file contains a parameter that the model does not use.
+    #[error("{}: {key} is not used by the model; remove it from `assumed`", path.display())]
     UnknownParameter {
         /// The file.
         path: PathBuf,
@@ -65,39 +66,39 @@
         key: String,
     },
     /// An assumed value is zero, negative or not finite.
-    #[error("{}: {key} is no figure above 0", path.display())]
+    #[error("{}: {key} is not a positive number", path.display())]
     ParameterNotPositive {
         /// The file.
         path: PathBuf,
         /// Key of the parameter.
         key: String,
     },
-    /// The file of a run is not of the expected form.
-    #[error("{}: {source}; write it by the bench slopes", path.display())]
+    /// The file of a run has an invalid format.
+    #[error("{}: {source}; regenerate it with the bench `slopes`", path.display())]
     InvalidRunFormat {
         /// The file.
         path: PathBuf,
         /// The cause, with line and column.
         source: serde_json::Error,
     },
-    /// A run holds too few or unusable measurements.
+    /// A run has too few or invalid measurements.
     #[error("{}: {source}", path.display())]
     InvalidRun {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The reason.
         source: RunError,
     },
-    /// A run's name is not that of its file.
-    #[error("{}: its name is {name}; name the file {name}.json", path.display())]
+    /// The name of a run differs from that of its file.
+    #[error("{}: contains the run {name}; rename the file to {name}.json", path.display())]
     RunNameMismatch {
         /// The file.
         path: PathBuf,
-        /// The name that the run gives itself.
+        /// The name of the run.
         name: String,
     },
     /// A line of a scale test's output is not JSON.
-    #[error("{}:{line}: {source}; one JSON value a line", path.display())]
+    #[error("{}:{line}: {source}; each line must be one JSON value", path.display())]
     InvalidScaleLine {
         /// The file.
         path: PathBuf,
@@ -106,7 +107,7 @@
         /// The cause.
         source: serde_json::Error,
     },
-    /// A result of a scale test is not of the expected form.
+    /// A result of a scale test has an invalid format.
     #[error("{}:{line}: {source}", path.display())]
     InvalidScaleRun {
         /// The file.
@@ -116,20 +117,20 @@
         /// The cause.
         source: serde_json::Error,
     },
-    /// A file of a scale test holds no final line.
-    #[error("{}: no line of it is a scale run's last; write it by milletpath scale --json", path.display())]
+    /// A file of a scale test contains no line with a result.
+    #[error("{}: contains no scale test result; create it with `milletpath scale --json`", path.display())]
     NoScaleRun {
         /// The file.
         path: PathBuf,
     },
-    /// The page lacks the mark at which the generated part begins.
+    /// The page lacks the marker at which the generated part begins.
     #[error("the page has no line {marker}; add it where the tables belong")]
     MissingBeginMarker {
         /// The missing line.
         marker: &'static str,
     },
-    /// The page lacks the mark at which the generated part ends, or it stands before the begin mark.
-    #[error("the page has no line {marker} after the first; add it")]
+    /// The page lacks the marker at which the generated part ends, or the marker precedes the begin marker.
+    #[error("the page has no line {marker} after the begin marker; add it")]
     MissingEndMarker {
         /// The missing line.
         marker: &'static str,
@@ -137,35 +138,35 @@
 }
 
 impl CapacityError {
-    /// An input file that cannot be read.
+    /// The error for an input file that cannot be read.
     pub(crate) fn read_file(path: &Path, source: io::Error) -> Self {
         Self::ReadFile { path: path.into(), source }
     }
 
-    /// A folder of runs that cannot be listed.
+    /// The error for a folder of runs that cannot be listed.
     pub(crate) fn read_folder(path: &Path, source: io::Error) -> Self {
         Self::ReadFolder { path: path.into(), source }
     }
 }
 
-/// Why a run cannot be used.
+/// The reason why a run is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RunError {
-    /// Too few sizes to fit a form of growth.
+    /// The run has too few sizes to fit a growth curve.
     #[error("has {found} sizes; measure {required} or more")]
     TooFewSizes {
-        /// Sizes in the run.
+        /// Number of sizes in the run.
         found: usize,
-        /// Sizes needed at least.
+        /// Minimum number of sizes.
         required: usize,
     },
-    /// A measurement is negative, not finite, without repeats or at position 0 of its axis.
-    #[error("sizes[{index}] has a figure that is none, or an axis of 0; measure it anew")]
+    /// A measurement has a negative or non-finite value, no repeats, or position 0 on the first axis.
+    #[error("sizes[{index}] has a negative or non-finite value, no repeats or position 0; measure it again")]
     InvalidMeasurement {
-        /// Index in the file's `sizes`.
+        /// Index in `sizes` of the file.
         index: usize,
     },
-    /// Only some measurements give a position on the second axis.
-    #[error("a size has no place on the second axis; give `and` for all sizes or none")]
+    /// A measurement lacks a position on the second axis of the run, or has one though the run has no second axis.
+    #[error("`and` does not match the second axis; give it for all sizes if the run has one, else for none")]
     SecondAxisMismatch,
 }
--- a/crates/capacity-model/tests/page.rs
+++ b/crates/capacity-model/tests/page.rs
@@ -36,7 +36,7 @@
 }
 
 #[test_case("\"zipf\"", "\"zipff\"", "zipf is missing"; "misspelt")]
-#[test_case("\"value\": 1.6", "\"value\": 0", "zipf is no figure above 0"; "nothing")]
+#[test_case("\"value\": 1.6", "\"value\": 0", "zipf is not a positive number"; "zero")]
 #[test_case("\"gateways\": 1100", "\"gatewais\": 1100", "gatewais"; "an unknown figure")]
 fn a_bad_assumption_is_reported_with_its_remedy(from: &str, to: &str, wrong: &str) {
     let folder = RunFolder::new(&format!("assumed-{}", wrong.len()));
--- a/crates/capacity-model/tests/scale_runs.rs
+++ b/crates/capacity-model/tests/scale_runs.rs
@@ -111,7 +111,7 @@
     assert!(made.contains("not shown among more than 60 gateways"), "{made}");
 }
 
-#[test_case("{\"gateways\": 3}\n", "no line of it is a scale run's last"; "no last line")]
+#[test_case("{\"gateways\": 3}\n", "contains no scale test result"; "no result line")]
 #[test_case("gateways\n", ":1:"; "no JSON")]
 #[test_case("{\"gateways\": -3, \"seed\": 1, \"control\": {}}\n", ":1:"; "fewer than none")]
 fn a_bad_scale_run_is_reported_with_its_place(text: &str, wrong: &str) {
