--- a/crates/capacity-model/src/assumptions.rs
+++ b/crates/capacity-model/src/assumptions.rs
@@ -1,5 +1,5 @@
-//! The target size of the fleet, the resources granted for control, and the parameters that nobody stated and that are
-//! therefore assumed. Read from `docs/capacity/assumptions.json`.
+//! The target size of the fleet, the resources that a gateway may spend on control, and the parameters that the users'
+//! request leaves open and that are therefore assumed. Read from `docs/capacity/assumptions.json`.
 
 use crate::error::CapacityError;
 use serde::{Deserialize, Serialize};
@@ -9,98 +9,99 @@
 const SECONDS_PER_DAY: f64 = 86_400.0;
 const SECONDS_PER_MINUTE: f64 = 60.0;
 
-/// The size that the fleet is built towards, and what one gateway may spend on control. Source: the users' request.
+/// The required size of the fleet, its service levels, and the resources that one gateway may spend on control. Source:
+/// the users' request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Gateways of the fleet.
+    /// Number of gateways in the fleet.
     pub gateways: f64,
-    /// Instances of functions on all workers.
+    /// Number of function instances on all workers.
     pub instances: f64,
-    /// Distinct functions.
+    /// Number of distinct functions.
     pub functions: f64,
-    /// Calls per second of the whole fleet.
+    /// Calls per second in the whole fleet.
     #[serde(rename = "calls_a_second")]
     pub calls_per_second: f64,
-    /// Bound on a cold start, 99th percentile, in seconds.
+    /// Upper bound on the 99th percentile of the cold start time, in seconds.
     #[serde(rename = "cold_start_s")]
     pub cold_start_seconds: f64,
-    /// Regions in which gateways and workers run.
+    /// Number of regions in which gateways and workers run.
     pub regions: f64,
-    /// Availability zones in all regions.
+    /// Number of availability zones in all regions together.
     pub zones: f64,
-    /// Changes of configuration per day.
+    /// Configuration changes per day.
     #[serde(rename = "changes_a_day")]
     pub config_changes_per_day: f64,
-    /// Bound on the time until a change of configuration is in force at every gateway, in seconds.
+    /// Upper bound on the time until a configuration change is in force at every gateway, in seconds.
     #[serde(rename = "change_in_force_s")]
     pub config_propagation_seconds: f64,
     /// Workers restarted or replaced per day.
     #[serde(rename = "restarts_a_day")]
     pub worker_restarts_per_day: f64,
-    /// CPU granted to a gateway for control, in percent of one core.
+    /// CPU that a gateway may spend on control, in percent of one core.
     pub cpu_percent: f64,
-    /// Memory granted to a gateway for control, in MB.
+    /// Memory that a gateway may spend on control, in MB.
     #[serde(rename = "memory_mb")]
     pub memory_megabytes: f64,
-    /// Traffic granted to a gateway for control, sent and received together, in kB per second.
+    /// Control traffic that a gateway may send and receive in total, in kB per second.
     #[serde(rename = "kb_a_second")]
     pub kilobytes_per_second: f64,
-    /// Machines that hold the log of configuration changes.
+    /// Number of machines that replicate the log of configuration changes.
     pub control_machines: f64,
 }
 
-/// One assumed parameter with its reason.
+/// The value of an assumed parameter, with the reason for it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Assumption {
     /// The value, in [`Assumption::unit`].
     pub value: f64,
-    /// The unit as the page prints it.
+    /// The unit as printed on the page.
     pub unit: String,
-    /// What the parameter is.
+    /// Meaning of the parameter.
     #[serde(rename = "what")]
     pub description: String,
-    /// Why this value was taken.
+    /// Why this value was chosen.
     #[serde(rename = "why")]
     pub reason: String,
 }
 
-/// Parameters that must be assumed. The file names exactly these.
+/// The assumed parameters. The assumptions file must contain exactly these.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Parameter {
     /// Encoded size of one configuration change, in bytes.
     ConfigChangeBytes,
-    /// Connections that a worker accepts at a time.
+    /// Concurrent connections that a worker accepts.
     WorkerConnections,
-    /// CPU that decisions on calls may take at a gateway, in percent of one core.
+    /// CPU that a gateway may spend on routing decisions, in percent of one core.
     DecisionCpuPercent,
-    /// Instances that one worker holds.
+    /// Instances that one worker runs.
     InstancesPerWorker,
     /// Idle time after which an instance is evicted, in seconds.
     IdleTimeoutSeconds,
     /// Calls that an instance runs concurrently.
     ConcurrentCallsPerInstance,
-    /// Membership lease, in seconds.
+    /// Duration of the membership lease, in seconds.
     LeaseSeconds,
-    /// Endpoint list updates for each restarted worker.
+    /// Endpoint list updates per worker restart.
     ListUpdatesPerRestart,
-    /// Load time of a function at a worker, 99th percentile, in seconds.
+    /// 99th percentile of the time that a worker takes to load a function, in seconds.
     LoadSeconds,
     /// Fraction of all calls that the busiest region receives.
     BusiestRegionFraction,
-    /// Longest time for which a core may be blocked by one event, in milliseconds.
+    /// Maximum time for which one event may block a core, in milliseconds.
     StallMilliseconds,
     /// CPU that a gateway may spend on control while the fleet starts or recovers, in percent of one core.
     RecoveryCpuPercent,
-    /// Age that a usage report may reach, in seconds.
+    /// Maximum age of a usage report, in seconds.
     UsageAgeSeconds,
     /// Exponent of the Zipf distribution of calls over functions.
     ZipfExponent,
 }
 
 impl Parameter {
-    /// Every parameter, in the order of its key.
+    /// All parameters, sorted by key.
     pub const ALL: [Self; 14] = [
         Self::ConfigChangeBytes,
         Self::WorkerConnections,
@@ -118,7 +119,7 @@
         Self::ZipfExponent,
     ];
 
-    /// The key under which the file holds the parameter.
+    /// The key of the parameter in the assumptions file.
     pub fn key(self) -> &'static str {
         match self {
             Self::ConfigChangeBytes => "change_bytes",
@@ -143,10 +144,10 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Assumptions {
-    /// The size that the fleet is built towards.
+    /// The target size of the fleet.
     #[serde(rename = "asked")]
     pub target: Target,
-    /// Assumed parameters by [`Parameter::key`].
+    /// The assumed parameters, keyed by [`Parameter::key`].
     #[serde(rename = "assumed")]
     pub parameters: BTreeMap<String, Assumption>,
 }
@@ -155,7 +156,7 @@
     /// Reads and validates the file.
     ///
     /// # Errors
-    /// The file cannot be read or is not of this form; a parameter is missing, unknown, or not a positive number.
+    /// The file cannot be read or has an invalid format; a parameter is missing, unknown, or not a positive number.
     pub fn read(path: &Path) -> Result<Self, CapacityError> {
         let text = std::fs::read_to_string(path).map_err(|source| CapacityError::read_file(path, source))?;
         let assumptions: Self = serde_json::from_str(&text)
@@ -182,12 +183,12 @@
         }
     }
 
-    /// The value of a parameter. [`Assumptions::read`] ensures that all are present.
+    /// The value of a parameter. [`Assumptions::read`] ensures that all parameters are present.
     pub fn value(&self, parameter: Parameter) -> f64 {
         self.parameters.get(parameter.key()).map_or(f64::NAN, |assumption| assumption.value)
     }
 
-    /// A copy in which the parameter with the given key is multiplied by `factor`.
+    /// Returns a copy in which the parameter with the given key is multiplied by `factor`.
     pub fn with_scaled(&self, key: &str, factor: f64) -> Self {
         let mut scaled = self.clone();
         if let Some(assumption) = scaled.parameters.get_mut(key) {
@@ -196,7 +197,7 @@
         scaled
     }
 
-    /// Workers of the fleet.
+    /// Number of workers in the fleet.
     pub fn workers(&self) -> f64 {
         self.target.instances / self.value(Parameter::InstancesPerWorker)
     }
@@ -208,12 +209,12 @@
             / target.gateways
     }
 
-    /// Endpoint list updates per second on an ordinary day.
+    /// Endpoint list updates per second at the usual rate of worker restarts.
     pub fn list_updates_per_second(&self) -> f64 {
         self.target.worker_restarts_per_day * self.value(Parameter::ListUpdatesPerRestart) / SECONDS_PER_DAY
     }
 
-    /// Endpoint list updates per second while all workers of one zone return within a minute.
+    /// Endpoint list updates per second while all workers of one zone rejoin within a minute.
     pub fn list_updates_per_second_in_zone_recovery(&self) -> f64 {
         self.workers() / self.target.zones / SECONDS_PER_MINUTE
     }
--- a/crates/capacity-model/src/derived_runs.rs
+++ b/crates/capacity-model/src/derived_runs.rs
@@ -1,5 +1,6 @@
-//! Slopes of quantities that only a whole fleet shows, derived from scale tests: those with configuration changes and
-//! without membership, at [`MIN_SIZES`] fleet sizes or more, one change a second while cost was measured.
+//! Runs of quantities that can only be measured in a whole fleet, derived from scale tests. Used are the tests with
+//! configuration changes and without membership, with one change per second while costs were measured. A run needs
+//! results of at least [`MIN_SIZES`] fleet sizes.
 
 use crate::error::CapacityError;
 use crate::run::{MIN_SIZES, Measurement, Run};
@@ -14,7 +15,7 @@
 const FOLLOWER_MECHANISM: &str = "a log of changes that each gateway follows (`crates/config-log`)";
 const REPLICA_MECHANISM: &str = "a replica of the log and its followers (`crates/config-log`)";
 
-/// The statistic of a distribution that is carried on to the target size.
+/// The statistic of a distribution that becomes the value of a derived run.
 #[derive(Clone, Copy)]
 enum Statistic {
     P99,
@@ -29,7 +30,7 @@
         }
     }
 
-    /// As the method of the derived run names it.
+    /// The name of the statistic in the method text of a derived run.
     fn label(self) -> &'static str {
         match self {
             Self::P99 => "the 99th in 100",
@@ -38,7 +39,7 @@
     }
 }
 
-/// A distribution of which all was measured, in the unit of a derived slope.
+/// The percentiles of a distribution, all of them measured, in the unit of a derived run.
 struct Percentiles {
     p50: f64,
     p99: f64,
@@ -55,7 +56,7 @@
         })
     }
 
-    /// Bytes sent and received, in kB.
+    /// Sum of the bytes sent and received, in kB.
     fn traffic(costs: &BTreeMap<String, Distribution>) -> Option<Self> {
         let received = Self::scaled(costs.get("bytes_in"), KILOBYTES_PER_BYTE)?;
         let sent = Self::scaled(costs.get("bytes_out"), KILOBYTES_PER_BYTE)?;
@@ -71,7 +72,7 @@
     }
 }
 
-/// How a slope is derived. The texts are stored in the run's file.
+/// How one run is derived from scale tests. The texts are stored in the file of the run.
 struct Derivation {
     name: &'static str,
     mechanism: &'static str,
@@ -145,7 +146,7 @@
         })
     }
 
-    /// The run over all fleets; `None` if too few sizes were measured.
+    /// The run with one measurement per fleet; `None` if too few fleet sizes were measured.
     fn run(&self, scale_runs: &[&ScaleRun]) -> Option<Run> {
         let measurements: Vec<Measurement> =
             scale_runs.iter().filter_map(|scale_run| self.measurement(scale_run)).collect();
@@ -178,20 +179,20 @@
     }
 }
 
-/// The slopes that the scale tests give. Results of a saturated machine are left out; a slope of fewer than
-/// [`MIN_SIZES`] fleet sizes is not made.
+/// Derives all runs that the scale tests provide enough data for. Results from a saturated machine are ignored, and a
+/// run with fewer than [`MIN_SIZES`] fleet sizes is omitted.
 pub fn derive_runs(scale_runs: &[ScaleRun]) -> Vec<Run> {
     let is_suitable = |run: &&ScaleRun| {
         run.enabled("changes") && !run.enabled("membership") && run.machine.saturated == Some(false)
     };
     let suitable: Vec<&ScaleRun> = scale_runs.iter().filter(is_suitable).collect();
-    DERIVATIONS.iter().filter_map(|slope| slope.run(&suitable)).collect()
+    DERIVATIONS.iter().filter_map(|derivation| derivation.run(&suitable)).collect()
 }
 
-/// Derives the slopes from the scale tests in a folder of runs, and writes them beside these.
+/// Derives runs from the scale tests in a folder and writes them to the same folder.
 ///
 /// # Errors
-/// A scale test cannot be read, or a run cannot be written.
+/// A scale test cannot be read, or a derived run cannot be written.
 pub fn write_derived_runs(folder: &Path) -> Result<(), CapacityError> {
     for run in derive_runs(&scale::read_all(folder)?) {
         let path = folder.join(format!("{}.json", run.name));
--- a/crates/capacity-model/src/fit.rs
+++ b/crates/capacity-model/src/fit.rs
@@ -1,72 +1,73 @@
-//! The form in which a measured quantity grows, fitted by least squares.
+//! Fits growth curves to a measured quantity by least squares.
 //!
-//! Each form has a constant and a slope, neither negative. Deviations are relative to the measured value, so that small
-//! sizes count as much as large ones. The form with the least residual is taken; among those about as good, the one
-//! that grows most slowly. Where no single term fits, a form with two terms is taken if it fits far better.
+//! Each form of growth has a non-negative constant and slope. Deviations are relative to the measured value, so that
+//! small sizes count as much as large ones. The form with the smallest residual is selected; among forms that fit about
+//! equally well, the one that grows most slowly. If no single-term form fits, a form with two terms is selected if it
+//! fits much better.
 
 use crate::least_squares::solve_non_negative;
 use crate::run::{Measurement, Run};
 use std::fmt;
 
-/// How a quantity grows with `n`, its first axis, or with `m`, its second.
+/// How a quantity grows with `n`, the position on the first axis, and `m`, the position on the second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Form {
-    /// Constant.
+    /// Does not grow.
     Constant,
-    /// With log(1 + n).
+    /// Proportional to log(1 + n).
     Logarithmic,
-    /// With n.
+    /// Proportional to n.
     Linear,
-    /// With n · log(1 + n).
+    /// Proportional to n · log(1 + n).
     Linearithmic,
-    /// With n².
+    /// Proportional to n².
     Quadratic,
-    /// With n³.
+    /// Proportional to n³.
     Cubic,
-    /// With n, and with n² beside it.
+    /// The sum of a term in n and a term in n².
     LinearPlusQuadratic,
-    /// With n, and with n³ beside it.
+    /// The sum of a term in n and a term in n³.
     LinearPlusCubic,
-    /// With m alone.
+    /// Proportional to m, independent of n.
     SecondAxis,
-    /// With n · m.
+    /// Proportional to n · m.
     Product,
 }
 
-/// Forms of a run with one axis, from the slowest growth.
+/// Single-term forms for a run with one axis, in order of growth.
 const SINGLE_AXIS_FORMS: [Form; 6] =
     [Form::Constant, Form::Logarithmic, Form::Linear, Form::Linearithmic, Form::Quadratic, Form::Cubic];
 
-/// Forms of a run with one axis that have two terms.
+/// Two-term forms for a run with one axis.
 const TWO_TERM_FORMS: [Form; 2] = [Form::LinearPlusQuadratic, Form::LinearPlusCubic];
 
-/// Forms of a run with two axes, from the slowest growth.
+/// Forms for a run with two axes, in order of growth.
 const TWO_AXIS_FORMS: [Form; 4] = [Form::Constant, Form::Linear, Form::SecondAxis, Form::Product];
 
-/// A residual up to this multiple of the least one counts as equally good.
+/// Residuals up to this multiple of the smallest one count as equally good.
 const EQUALLY_GOOD_FACTOR: f64 = 1.1;
 
-/// Residuals below this are not compared: the repeats differ by more.
+/// Residuals below this are not compared: repeated measurements differ by more.
 const NOISE_RESIDUAL: f64 = 0.01;
 
-/// A residual above this means that a single term does not fit.
+/// If the best single-term form has a larger residual, two-term forms are tried.
 const MAX_SINGLE_TERM_RESIDUAL: f64 = 0.1;
 
-/// Two terms are taken if they leave at most this fraction of the single term's residual.
+/// A two-term form is selected if its residual is at most this fraction of the best single-term residual.
 const MAX_TWO_TERM_RESIDUAL_RATIO: f64 = 0.6;
 
-/// Measured sizes needed to fit two terms.
+/// Minimum number of measured sizes to which a two-term form is fitted.
 const MIN_SIZES_FOR_TWO_TERMS: usize = 5;
 
-/// A form is plausible if its residual is at most this multiple of the best one's.
+/// A form is plausible if its residual is at most this multiple of the best form's.
 const PLAUSIBLE_FACTOR: f64 = 2.0;
 
-/// Measured values below the largest divided by this are weighted as if they were that large: a value of zero would
-/// weigh infinitely.
+/// Largest ratio of two weights: a measured value is weighted by its inverse, and as the weight of a value of zero
+/// would be infinite, smaller values are weighted like the largest one divided by this.
 const MAX_WEIGHT_RATIO: f64 = 100.0;
 
 impl Form {
-    /// The term that the slope is multiplied by.
+    /// The value of the term that the slope is multiplied by.
     fn term(self, n: f64, m: f64) -> f64 {
         match self {
             Self::Constant => 0.0,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// The term as the page prints it.
+    /// The term as printed on the page.
     fn symbol(self) -> &'static str {
         match self {
             Self::Constant => "flat",
@@ -98,7 +99,7 @@
         TWO_TERM_FORMS.contains(&self)
     }
 
-    /// The terms of this form, the constant first.
+    /// The terms of this form, beginning with the constant.
     fn terms(self) -> Vec<Term> {
         let constant: Term = Box::new(|_| 1.0);
         match self {
@@ -111,26 +112,26 @@
     }
 }
 
-/// What one coefficient is multiplied by, at a measured size.
+/// The factor of one coefficient, as a function of the measured size.
 type Term = Box<dyn Fn(&Measurement) -> f64>;
 
-/// A form with its coefficients, in the unit of the run.
+/// A fitted form with its coefficients, in the unit of the run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
     /// The form of growth.
     pub form: Form,
     /// The value at size 0.
     pub constant: f64,
-    /// Coefficient of n in a form with two terms; otherwise 0.
+    /// Coefficient of n in a two-term form; otherwise 0.
     pub linear: f64,
-    /// Coefficient of the form's own term.
+    /// Coefficient of the form's term, or of its faster growing term if it has two.
     pub slope: f64,
     /// Root mean square of the relative deviations, per degree of freedom.
     pub residual: f64,
 }
 
 impl Fit {
-    /// The fitted value at a place on both axes.
+    /// The fitted value at position `n` on the first axis and `m` on the second.
     pub fn value_at(&self, n: f64, m: f64) -> f64 {
         self.constant + self.linear * n + self.slope * self.form.term(n, m)
     }
@@ -151,7 +152,7 @@
     }
 }
 
-/// The best form for the measurements of a run.
+/// Fits all forms to the measurements of a run and selects the best one.
 pub fn fit(run: &Run) -> Fit {
     let best = best_fit(single_term_forms(run), &run.measurements);
     if best.residual <= MAX_SINGLE_TERM_RESIDUAL || !can_have_two_terms(run) {
@@ -161,7 +162,8 @@
     if two_terms.residual <= MAX_TWO_TERM_RESIDUAL_RATIO * best.residual { two_terms } else { best }
 }
 
-/// All forms that fit nearly as well as the best one. Beyond the measured sizes they may differ widely.
+/// Fits of all forms that match the measurements nearly as well as the best one. Beyond the measured sizes they may
+/// differ widely.
 pub fn plausible_fits(run: &Run) -> Vec<Fit> {
     let limit = (PLAUSIBLE_FACTOR * fit(run).residual).max(NOISE_RESIDUAL);
     let mut forms = single_term_forms(run).to_vec();
@@ -180,7 +182,7 @@
     run.second_axis.is_none() && run.measurements.len() >= MIN_SIZES_FOR_TWO_TERMS
 }
 
-/// The first of the forms whose residual counts as good as the least.
+/// The first of the forms whose residual is about as small as the smallest one.
 fn best_fit(forms: &[Form], measurements: &[Measurement]) -> Fit {
     let fits: Vec<Fit> = forms.iter().map(|form| fit_form(*form, measurements)).collect();
     let least = fits.iter().map(|fit| fit.residual).fold(f64::INFINITY, f64::min);
@@ -188,12 +190,12 @@
     *good.unwrap_or(&fits[0])
 }
 
-/// The coefficients of one form.
+/// Fits the coefficients of one form.
 fn fit_form(form: Form, measurements: &[Measurement]) -> Fit {
     let largest = measurements.iter().map(|m| m.median).fold(0.0, f64::max);
     let weight = |m: &Measurement| 1.0 / m.median.max(largest / MAX_WEIGHT_RATIO).max(f64::MIN_POSITIVE);
     let terms = form.terms();
-    // Each term is scaled by its largest value, so that no power of n drowns the others.
+    // Each term is divided by its largest value: otherwise high powers of n would dominate the equations numerically.
     let scale = |term: &Term| measurements.iter().map(term).fold(f64::MIN_POSITIVE, f64::max);
     let scales: Vec<f64> = terms.iter().map(scale).collect();
     let row = |m: &Measurement| {
--- a/crates/capacity-model/src/least_squares.rs
+++ b/crates/capacity-model/src/least_squares.rs
@@ -1,18 +1,19 @@
-//! Linear least squares with coefficients that are not negative, for a handful of terms.
+//! Non-negative linear least squares for a small number of terms.
 
-/// Below this a pivot counts as zero: the measurements cannot tell the terms apart.
+/// A smaller pivot counts as zero: the system is singular, as the measurements do not distinguish the terms.
 const MIN_PIVOT: f64 = 1e-12;
 
-/// Coefficients of a fit and how far it is off.
+/// The solution of a least-squares problem.
 pub(crate) struct Solution {
-    /// One for each column; none is negative.
+    /// One non-negative coefficient per column.
     pub(crate) coefficients: Vec<f64>,
-    /// Sum of the squared deviations.
+    /// Sum of the squared residuals.
     pub(crate) squared_error: f64,
 }
 
-/// The best non-negative coefficients for `rows · coefficients = targets`: every subset of the columns is solved, and
-/// of the solutions without a negative coefficient the one with the least error is taken.
+/// Solves `rows · coefficients = targets` in the least-squares sense with non-negative coefficients. Every subset of
+/// the columns is solved without the constraint; of the solutions that satisfy it, the one with the smallest error is
+/// taken. If there is none, all coefficients are 0.
 pub(crate) fn solve_non_negative(rows: &[Vec<f64>], targets: &[f64], columns: usize) -> Solution {
     let solutions = (1..1usize << columns).filter_map(|subset| solve_subset(rows, targets, subset));
     let valid = solutions.filter(|coefficients| coefficients.iter().all(|c| *c >= 0.0));
@@ -31,8 +32,8 @@
     rows.iter().zip(targets).map(|(row, target)| (estimate(row) - target).powi(2)).sum()
 }
 
-/// Least squares over the columns whose bit is set in `subset`; the other coefficients are 0. `None` if the system is
-/// singular.
+/// Unconstrained least squares over the columns whose bit is set in `subset`; the coefficients of the others are 0.
+/// `None` if the system is singular.
 fn solve_subset(rows: &[Vec<f64>], targets: &[f64], subset: usize) -> Option<Vec<f64>> {
     let columns = rows.first()?.len();
     let chosen: Vec<usize> = (0..columns).filter(|column| subset >> column & 1 == 1).collect();
@@ -44,7 +45,7 @@
     Some(coefficients)
 }
 
-/// The normal equations over the chosen columns; the last column of each is its right-hand side.
+/// The normal equations over the chosen columns; the last element of each equation is its right-hand side.
 fn normal_equations(rows: &[Vec<f64>], targets: &[f64], chosen: &[usize]) -> Vec<Vec<f64>> {
     let equation = |a: &usize| {
         let products = chosen.iter().map(|b| rows.iter().map(|row| row[*a] * row[*b]).sum::<f64>());
@@ -54,7 +55,7 @@
     chosen.iter().map(equation).collect()
 }
 
-/// Gauss-Jordan elimination with partial pivoting.
+/// Solves the equations by Gauss-Jordan elimination with partial pivoting; `None` if they are singular.
 fn eliminate(mut equations: Vec<Vec<f64>>) -> Option<Vec<f64>> {
     let count = equations.len();
     for n in 0..count {
--- a/crates/capacity-model/src/lib.rs
+++ b/crates/capacity-model/src/lib.rs
@@ -1,9 +1,10 @@
-//! The capacity model: projects the cost of each role to the size that the fleet is built towards, and finds what fails
-//! first on the way there.
+//! The capacity model: extrapolates the cost of each role to the target size of the fleet and finds the limits that are
+//! exceeded first as the fleet grows.
 //!
-//! Measured runs go in, forms of growth are fitted to them, and the tables of `docs/CAPACITY.md` come out. Start at
-//! [`page::tables`]. The inputs are [`assumptions`], [`run`] with [`fit`], and [`scale`]; [`roles`] lists the
-//! [`quantity`] rows, [`projection`] evaluates them, [`shortfalls`] ranks what misses its limit.
+//! It reads measured runs, fits a growth curve to each, and generates the tables of `docs/CAPACITY.md`. The entry
+//! point is [`page::tables`]. The inputs are [`assumptions`], measurements ([`run`], fitted by [`fit`]) and scale
+//! test results ([`scale`]). [`roles`] lists each [`quantity`], [`projection`] evaluates it at the target size, and
+//! [`shortfalls`] ranks those that exceed their limit.
 
 pub mod assumptions;
 mod breaking_point;
--- a/crates/capacity-model/src/number.rs
+++ b/crates/capacity-model/src/number.rs
@@ -1,12 +1,11 @@
-//! Numbers as the page prints them.
+//! Formatting of numbers on the page.
 
-/// Significant digits of a printed number.
 const SIGNIFICANT_DIGITS: i32 = 3;
 
-/// Digits between two separators of thousands.
+/// Digits between two thousands separators.
 const DIGITS_PER_GROUP: usize = 3;
 
-/// Formats with three significant digits and separators of thousands; `-` for what is not finite.
+/// Formats a number with three significant digits and thousands separators; `-` if it is not finite.
 pub fn number(value: f64) -> String {
     if !value.is_finite() {
         return "-".into();
--- a/crates/capacity-model/src/page/assumption_table.rs
+++ b/crates/capacity-model/src/page/assumption_table.rs
@@ -1,4 +1,4 @@
-//! The section on the assumptions, and how the result moves with each.
+//! The section on the assumptions and the sensitivity of the results to each of them.
 
 use crate::assumptions::{Assumption, Assumptions};
 use crate::fitted_runs::FittedRuns;
@@ -12,16 +12,16 @@
 
 const TABLE_HEAD: &str = "| parameter | value | reason | half | double |\n| --- | --- | --- | --- | --- |\n";
 
-/// Relative changes below this are rounding errors.
+/// Smaller relative changes are rounding errors.
 const MIN_RELATIVE_CHANGE: f64 = 1e-6;
 
-/// A function called less often than this, in calls per second, is rarely called: once a minute.
+/// A function that receives fewer calls per second is rarely called; the threshold is one call per minute.
 const RARE_CALLS_PER_SECOND: f64 = 1.0 / 60.0;
 
-/// The exponent that the dispatcher is measured with beside the assumed one.
+/// A flatter distribution, with which the dispatcher is measured in addition to the assumed one.
 const FLAT_EXPONENT: f64 = 1.1;
 
-/// Workers in the measurement of known functions that the section quotes.
+/// Number of workers in the measurement of known functions that the section quotes.
 const MEASURED_WORKERS: f64 = 9_100.0;
 
 pub(super) fn section(
@@ -52,7 +52,7 @@
     )
 }
 
-/// How the projections move with the assumptions.
+/// How the projections change with the assumptions.
 struct Sensitivity<'a> {
     assumptions: &'a Assumptions,
     fitted_runs: &'a FittedRuns,
@@ -65,13 +65,13 @@
         Self { assumptions, fitted_runs, scale_runs, projections: projections(assumptions, fitted_runs) }
     }
 
-    /// Limits in all, kept or missed.
+    /// The number of all limits, kept or exceeded.
     fn limit_count(&self) -> usize {
         let limited = self.projections.iter().filter(|projection| projection.limit.is_some()).count();
         limited + shortfalls(self.assumptions, self.scale_runs).len()
     }
 
-    /// Limits that are missed under other assumptions.
+    /// The number of limits that are exceeded under the given assumptions.
     fn exceeded_count(&self, projections: &[Projection], assumptions: &Assumptions) -> usize {
         let exceeded = projections.iter().filter(|projection| projection.exceeds_limit()).count();
         exceeded + shortfalls(assumptions, self.scale_runs).len()
@@ -89,7 +89,7 @@
         )
     }
 
-    /// What changes if a parameter is multiplied by `factor`.
+    /// Describes the effect of multiplying a parameter by `factor`.
     fn effect(&self, key: &str, factor: f64) -> String {
         let assumptions = self.assumptions.with_scaled(key, factor);
         let projections = projections(&assumptions, self.fitted_runs);
@@ -106,16 +106,16 @@
 struct Change<'a> {
     before: &'a Projection,
     after: &'a Projection,
-    /// Absolute logarithm of the ratio of value to limit, after and before.
+    /// Absolute logarithm of the factor by which the ratio of value to limit changes.
     magnitude: f64,
 }
 
 impl<'a> Change<'a> {
-    /// `None` if the projection does not move.
+    /// `None` if the projection does not change.
     fn new(before: &'a Projection, after: &'a Projection) -> Option<Self> {
         let against_limit = |projection: &Projection| projection.value / projection.limit.unwrap_or(1.0);
         let ratio = against_limit(after) / against_limit(before);
-        // A limit that falls to zero or below counts as the largest change of all.
+        // A limit that drops to zero or below counts as the largest possible change.
         let magnitude = if ratio <= 0.0 { f64::MAX } else { ratio.ln().abs() };
         let moves = magnitude.is_finite() && magnitude > MIN_RELATIVE_CHANGE;
         moves.then_some(Self { before, after, magnitude })
@@ -136,7 +136,8 @@
     }
 }
 
-/// The projection that moves most against its limit; if none does, the one without a limit that moves most.
+/// Describes the projection that changes most relative to its limit; if none with a limit changes, the one without a
+/// limit that changes most.
 fn largest_change(before: &[Projection], after: &[Projection]) -> Option<String> {
     let changes = before.iter().zip(after).filter_map(|(before, after)| Change::new(before, after));
     let by_magnitude = |a: &Change<'_>, b: &Change<'_>| {
@@ -174,7 +175,7 @@
     )
 }
 
-/// The measured number of known functions, to compare the calculated one with.
+/// The measured number of known functions, for comparison with the calculated one.
 fn measured_known_functions(fitted_runs: &FittedRuns) -> String {
     let measured = fitted_runs.get("functions-known-flat").and_then(|fitted| {
         fitted.run.measurements.iter().find(|measurement| measurement.size == MEASURED_WORKERS)
--- a/crates/capacity-model/src/page/cold_start.rs
+++ b/crates/capacity-model/src/page/cold_start.rs
@@ -1,4 +1,4 @@
-//! The section on the cold start: what is left of the target for the gateway, and what makes up its part.
+//! The section on cold starts: the part of the target that is left for the gateway, and the part that it takes.
 
 use crate::assumptions::{Assumptions, Parameter};
 use crate::number::number;
--- a/crates/capacity-model/src/page/mod.rs
+++ b/crates/capacity-model/src/page/mod.rs
@@ -1,5 +1,5 @@
-//! The tables of `docs/CAPACITY.md`, made of the runs, the assumptions and the scale tests alone, and the page around
-//! them, of which only the part between two marks is generated.
+//! Generates the tables of `docs/CAPACITY.md` from the runs, the assumptions and the scale tests alone, and replaces
+//! the part of the page between two markers by them.
 
 mod assumption_table;
 mod cold_start;
@@ -19,17 +19,17 @@
 use crate::shortfalls::{rank, shortfalls};
 use std::path::Path;
 
-/// The line after which the generated part begins.
+/// The line after which the generated part of the page begins.
 pub const BEGIN_MARKER: &str =
     "<!-- made by `milletpath capacity --page`; nothing between these marks is written by hand -->";
 
-/// The line before which the generated part ends.
+/// The line before which the generated part of the page ends.
 pub const END_MARKER: &str = "<!-- end of what is made -->";
 
-/// File name of the assumptions in the folder of runs.
+/// Name of the assumptions file in the folder of runs.
 pub const ASSUMPTIONS_FILE: &str = "assumptions.json";
 
-/// Makes all tables from a folder of runs.
+/// Generates all tables from a folder of runs.
 ///
 /// # Errors
 /// The assumptions, a run or a scale test cannot be read or is invalid.
@@ -51,10 +51,10 @@
     Ok(sections.join("\n"))
 }
 
-/// The page with its generated part replaced.
+/// Returns the page with its generated part replaced.
 ///
 /// # Errors
-/// The page lacks one of the marks.
+/// The page lacks one of the markers.
 pub fn rewrite(page: &str, tables: &str) -> Result<String, CapacityError> {
     let begin = page.find(BEGIN_MARKER).ok_or(CapacityError::MissingBeginMarker { marker: BEGIN_MARKER })?;
     let end = page
@@ -64,7 +64,7 @@
     Ok(format!("{}{BEGIN_MARKER}\n\n{tables}\n{}", &page[..begin], &page[end..]))
 }
 
-/// A breaking point as the page prints it.
+/// Formats a breaking point for the page.
 fn breaking_point_text(breaking_point: Option<f64>, below_measured: bool) -> String {
     match breaking_point {
         Some(size) if below_measured && size > 0.0 => {
--- a/crates/capacity-model/src/page/role_tables.rs
+++ b/crates/capacity-model/src/page/role_tables.rs
@@ -1,4 +1,4 @@
-//! One table for each role: its quantities at the target size against their limits.
+//! One table for each role, which compares its quantities at the target size with their limits.
 
 use super::breaking_point_text;
 use crate::number::number;
@@ -8,7 +8,7 @@
 const TABLE_HEAD: &str = "| resource | quantity | at the target size | limit | verdict | exceeded at | mechanism | source | runs |\n\
                     | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
 
-/// Title and introduction of a role's section.
+/// The title and introduction of the section on a role.
 struct Section {
     role: Role,
     title: &'static str,
@@ -76,7 +76,7 @@
     )
 }
 
-/// Whether the limit is kept, and whether other plausible forms agree.
+/// Whether the limit is kept, and whether other plausible forms of growth give the same answer.
 fn verdict(projection: &Projection) -> &'static str {
     if projection.has_missing_runs() {
         return "not run";
--- a/crates/capacity-model/src/page/run_table.rs
+++ b/crates/capacity-model/src/page/run_table.rs
@@ -1,4 +1,4 @@
-//! The table of all slopes: what was measured, and the fitted form.
+//! The table of all runs: what was measured, and the fitted growth curve.
 
 use crate::fitted_runs::{FittedRun, FittedRuns};
 use crate::number::number;
--- a/crates/capacity-model/src/page/scale_tables.rs
+++ b/crates/capacity-model/src/page/scale_tables.rs
@@ -1,5 +1,5 @@
-//! Tables of the scale tests: each run, and configuration changes before and after there was a mechanism that carries
-//! them.
+//! Tables of the scale tests: one of all results, and one that compares fleets without a mechanism that propagates
+//! configuration changes (before) and with it (after).
 
 use crate::assumptions::Target;
 use crate::number::number;
@@ -20,7 +20,7 @@
 const CONFIG_CHANGES_HEAD: &str = "| gateways | mechanism | change known, s | verdict | CPU, % of a core | kB/s received | kB/s sent | run |\n\
                                    | --- | --- | --- | --- | --- | --- | --- | --- |\n";
 
-/// A distribution, each value multiplied by `factor`.
+/// Formats a distribution, with each value multiplied by `factor`.
 fn distribution(distribution: Option<&Distribution>, factor: f64) -> String {
     let Some(distribution) = distribution else { return "not measured".into() };
     let value = |value: Option<f64>| value.map_or("-".into(), |value| number(value * factor));
@@ -30,7 +30,7 @@
     format!("{}, {}, {}{never}", value(p50), value(p99), value(worst))
 }
 
-/// The section with a row for each scale test.
+/// The section with one row for each scale test.
 pub(super) fn scale_runs(target: &Target, scale_runs: &[ScaleRun]) -> String {
     if scale_runs.is_empty() {
         return format!("{SCALE_RUNS_TITLE}Not run: no `scale-*.json` is among the runs.\n");
@@ -74,7 +74,7 @@
     if exceeds_limit { format!(" {EXCEEDED}") } else { String::new() }
 }
 
-/// Whether the 99th percentiles of sent and received bytes exceed the limit together.
+/// Whether the sum of the 99th percentiles of sent and received bytes exceeds the limit.
 fn exceeds_traffic(target: &Target, run: &ScaleRun) -> bool {
     let p99 = |key: &&str| run.control.get(*key)?.p99;
     let bytes = ["bytes_in", "bytes_out"].iter().filter_map(p99).sum::<f64>();
@@ -97,8 +97,8 @@
     }
 }
 
-/// The section on what carrying configuration changes costs and how soon they are in force, beside fleets of the same
-/// size without it.
+/// The section on the cost and delay of propagating configuration changes, with fleets of the same size that do not
+/// propagate them for comparison.
 pub(super) fn config_changes(target: &Target, scale_runs: &[ScaleRun]) -> String {
     let introduction = config_changes_introduction(target);
     let with_changes: Vec<&ScaleRun> =
@@ -106,7 +106,7 @@
     if with_changes.is_empty() {
         return introduction + "After: not run.\n";
     }
-    // A fleet without changes is compared with one of the same size.
+    // Fleets without changes are only shown next to one of the same size with changes.
     let is_compared = |run: &&ScaleRun| {
         run.change_propagation().is_some() || with_changes.iter().any(|other| other.gateways == run.gateways)
     };
--- a/crates/capacity-model/src/page/shortfall_tables.rs
+++ b/crates/capacity-model/src/page/shortfall_tables.rs
@@ -1,4 +1,5 @@
-//! The section on what fails, by the size at which it does; what holds; and what is not known.
+//! The section on the limits that are exceeded, by the size at which this happens, on those that are kept, and on the
+//! quantities that are unknown because a run is missing.
 
 use super::breaking_point_text;
 use crate::projection::Projection;
--- a/crates/capacity-model/src/popularity.rs
+++ b/crates/capacity-model/src/popularity.rs
@@ -1,28 +1,29 @@
-//! The distribution of calls over functions by Zipf's law.
+//! The Zipf distribution of calls over functions.
 
-/// Functions that are summed one by one; those of higher rank are summed in blocks.
+/// Number of ranks that are summed one by one; the following ranks are summed in blocks.
 const MAX_SINGLE_RANKS: usize = 1_000;
 
-/// A block's width is its first rank divided by this.
+/// The width of a block is its first rank divided by this.
 const BLOCK_WIDTH_DIVISOR: usize = 100;
 
-/// A Zipf distribution over functions, ranked from the most called.
+/// A Zipf distribution over functions; rank 1 is the most called function.
 pub struct Popularity {
     exponent: f64,
     functions: usize,
-    /// Sum of the unnormalized weights of all ranks.
+    /// Sum of the weights of all ranks, by which they are normalized.
     total_weight: f64,
 }
 
 impl Popularity {
-    /// A distribution over `functions` ranks, at least one, with the given exponent.
+    /// Creates a distribution with the given exponent over `functions` ranks, but at least one.
     pub fn new(functions: f64, exponent: f64) -> Self {
         let mut popularity = Self { exponent, functions: functions.max(1.0) as usize, total_weight: 1.0 };
         popularity.total_weight = popularity.sum(|fraction| fraction);
         popularity
     }
 
-    /// The sum of `term` over the fractions of all functions. Blocks of ranks count by the rank in their middle.
+    /// The sum of `term` over the call fractions of all functions. Within a block the fraction of its middle rank
+    /// stands for all ranks.
     fn sum(&self, term: impl Fn(f64) -> f64) -> f64 {
         let last_single = self.functions.min(MAX_SINGLE_RANKS);
         let single: f64 = (1..=last_single).map(|rank| term(self.fraction(rank as f64))).sum();
@@ -36,7 +37,7 @@
         single + blocks
     }
 
-    /// The fraction of all calls that the function of a rank receives; ranks count from 1.
+    /// The fraction of all calls that the function with the given rank receives; ranks start at 1.
     pub fn fraction(&self, rank: f64) -> f64 {
         rank.powf(-self.exponent) / self.total_weight
     }
@@ -47,14 +48,14 @@
         if last_rank.is_finite() { (last_rank as usize).min(self.functions) } else { self.functions }
     }
 
-    /// The expected number of distinct functions among so many calls.
+    /// The expected number of distinct functions among the given number of calls.
     pub fn distinct_functions(&self, calls: f64) -> f64 {
         self.sum(|fraction| -(-calls * fraction).exp_m1())
     }
 }
 
-/// The smallest exponent by which more than half of the functions are called less often than `rate`, where all
-/// functions together receive `calls`; both are calls per second.
+/// The smallest exponent with which more than half of the functions receive fewer than `rate` calls per second, if all
+/// functions together receive `calls` per second.
 pub fn min_exponent(functions: f64, calls: f64, rate: f64) -> f64 {
     /// Above any exponent of interest.
     const MAX_EXPONENT: f64 = 8.0;
--- a/crates/capacity-model/src/projection.rs
+++ b/crates/capacity-model/src/projection.rs
@@ -1,4 +1,4 @@
-//! Projects a quantity to the target size, and finds the fraction of that size at which it exceeds its limit.
+//! Evaluates a quantity at the target size and finds the fraction of that size at which it exceeds its limit.
 
 pub use crate::breaking_point::MAX_SIZE_FACTOR;
 use crate::breaking_point::breaking_point;
@@ -9,22 +9,23 @@
 use crate::run::Run;
 use std::fmt;
 
-/// A size within this fraction of the target counts as measured at the target.
+/// A measured size that deviates from the target by at most this fraction counts as the target.
 const SIZE_TOLERANCE: f64 = 1.0 / 50.0;
 
-/// A range narrower than this fraction of its upper end is not worth printing.
+/// A range narrower than this fraction of its upper end is not printed.
 const MIN_PRINTED_RANGE: f64 = 0.01;
 
-/// Where a projected value comes from.
+/// How a projected value was obtained.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Source {
     /// All runs were measured at the target size.
     Measured,
-    /// By the fitted form. The number is the size divided by the largest one measured: above 1 it is extrapolated.
+    /// From fitted growth curves. The number is the target size divided by the largest measured size: above 1 the value
+    /// is extrapolated.
     Fitted(f64),
-    /// By calculation, without a run.
+    /// By a formula, without a run.
     Calculated,
-    /// These runs are missing.
+    /// Not at all, as these runs are missing.
     MissingRuns(Vec<&'static str>),
 }
 
@@ -42,57 +43,57 @@
     }
 }
 
-/// The least and the greatest value by all plausible forms, in the unit of the projection.
+/// The range of values according to all plausible forms of growth, in the unit of the projection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ValueRange {
-    /// Least value.
+    /// Smallest value.
     pub low: f64,
-    /// Greatest value.
+    /// Largest value.
     pub high: f64,
 }
 
-/// A quantity at the target size: one row of a table.
+/// A quantity at the target size; one row of a table.
 #[derive(Clone, Debug)]
 pub struct Projection {
-    /// Who bears the cost.
+    /// The part of the system that bears the cost.
     pub role: Role,
-    /// What is spent.
+    /// The resource that is used.
     pub resource: Resource,
-    /// What the page calls it.
+    /// The name of the quantity on the page.
     pub description: String,
-    /// The mechanism that causes it.
+    /// The mechanism that causes the cost.
     pub mechanism: String,
     /// The value at the target size, in [`Projection::unit`]; NaN if a run is missing.
     pub value: f64,
-    /// Unit of value, limit and range.
+    /// Unit of the value, the limit and the range.
     pub unit: &'static str,
-    /// The largest value that meets the target, if there is a limit.
+    /// The largest acceptable value, if there is a limit.
     pub limit: Option<f64>,
-    /// Where the value comes from.
+    /// How the value was obtained.
     pub source: Source,
-    /// The runs that it is computed from.
+    /// The runs that the value is computed from.
     pub runs: Vec<&'static str>,
     /// The fraction of the target size at which the limit is exceeded; `None` if it is not up to [`MAX_SIZE_FACTOR`].
     pub breaking_point: Option<f64>,
-    /// Whether the breaking point lies below the smallest measured size: the form is extrapolated downwards.
+    /// Whether the breaking point lies below the smallest measured size, so that it is extrapolated downwards.
     pub breaks_below_measured: bool,
-    /// For an extrapolated value: what other plausible forms give.
+    /// For an extrapolated value: the range of values according to all plausible forms.
     pub range: Option<ValueRange>,
 }
 
 impl Projection {
-    /// Whether the value exceeds its limit.
+    /// Whether the value exceeds the limit.
     pub fn exceeds_limit(&self) -> bool {
         self.limit.is_some_and(|limit| self.value > limit)
     }
 
-    /// Whether some plausible forms keep the limit and others exceed it.
+    /// Whether the limit is exceeded according to some plausible forms and kept according to others.
     pub fn is_uncertain(&self) -> bool {
         let straddles = |(range, limit): (ValueRange, f64)| range.low <= limit && limit < range.high;
         self.range.zip(self.limit).is_some_and(straddles)
     }
 
-    /// Where the value comes from and what other plausible forms give, as the page prints it.
+    /// How the value was obtained, with the range of an extrapolated value, as printed on the page.
     pub fn provenance(&self) -> String {
         let is_wide = |range: &ValueRange| range.high - range.low > MIN_PRINTED_RANGE * range.high;
         let Some(range) = self.range.filter(is_wide) else { return self.source.to_string() };
@@ -100,13 +101,13 @@
         format!("{}; {low} to {high} by other forms that fit nearly as well", self.source)
     }
 
-    /// Whether a run that the value needs is missing.
+    /// Whether a run that the value is computed from is missing.
     pub fn has_missing_runs(&self) -> bool {
         matches!(self.source, Source::MissingRuns(_))
     }
 }
 
-/// Projects a quantity to the target size.
+/// Evaluates a quantity at the target size.
 pub fn project(quantity: &Quantity, fitted_runs: &FittedRuns) -> Projection {
     let runs: Vec<&'static str> = quantity.inputs.iter().map(|input| input.run).collect();
     let missing: Vec<&'static str> =
@@ -132,7 +133,7 @@
     }
 }
 
-/// The quantity's own mechanism, else that of its first run.
+/// The mechanism that the quantity names, otherwise that of its first run.
 fn mechanism(quantity: &Quantity, fitted_runs: &FittedRuns) -> String {
     let of_first_run = || {
         let fitted = quantity.inputs.first().and_then(|input| fitted_runs.get(input.run))?;
@@ -141,11 +142,11 @@
     quantity.mechanism.clone().or_else(of_first_run).unwrap_or_default()
 }
 
-/// A run at the place that corresponds to the target size.
+/// A run together with the position on its axes that corresponds to the target size.
 struct EvaluatedInput<'a> {
     run: &'a FittedRun,
     position: RunInput,
-    /// The median, if it was measured at that very place.
+    /// The median measured at this position, if there is one.
     measured: Option<f64>,
 }
 
@@ -154,17 +155,18 @@
         Self { run, position, measured: measured_at(&run.run, &position) }
     }
 
-    /// By the fitted form, at a fraction of the target size.
+    /// The value on the fitted curve at a fraction of the target size.
     fn fitted_value(&self, size: f64) -> f64 {
         self.run.fit.value_at(self.position.size * size, self.position.second_size * size)
     }
 
-    /// At the target size: as measured, else by the fitted form.
+    /// The value at the target size: the measured one if there is one, otherwise that on the fitted curve.
     fn target_value(&self) -> f64 {
         self.measured.unwrap_or(self.run.fit.value_at(self.position.size, self.position.second_size))
     }
 
-    /// Between the measured sizes by interpolation, beyond them by the fitted form.
+    /// The value at a fraction of the target size: interpolated up to the largest measured size, beyond it on the
+    /// fitted curve. Runs with two axes are not interpolated.
     fn interpolated_value(&self, size: f64) -> f64 {
         let run = &self.run.run;
         let position = self.position.size * size;
@@ -175,7 +177,8 @@
         }
     }
 
-    /// The least or greatest value at the target size by all plausible forms, as `pick` chooses.
+    /// The smallest or largest value at the target size according to all plausible forms; `pick` is `f64::min` or
+    /// `f64::max`.
     fn extreme_value(&self, pick: fn(f64, f64) -> f64) -> f64 {
         if let Some(measured) = self.measured {
             return measured;
@@ -186,7 +189,7 @@
         values.fold(self.target_value(), pick)
     }
 
-    /// How far beyond the largest measured size the target lies; `None` if it was measured.
+    /// The target size divided by the largest measured size; `None` if the target size was measured.
     fn extrapolation_ratio(&self) -> Option<f64> {
         match self.measured {
             Some(_) => None,
@@ -195,7 +198,7 @@
     }
 }
 
-/// The median of the measurement at a place, if there is one.
+/// The median measured at a position, if there is one.
 fn measured_at(run: &Run, position: &RunInput) -> Option<f64> {
     let is_near = |measured: f64, target: f64| (measured - target).abs() <= target * SIZE_TOLERANCE;
     let measurement = run.measurements.iter().find(|m| {
@@ -204,7 +207,7 @@
     measurement.map(|m| m.median)
 }
 
-/// A quantity with all of its runs.
+/// A quantity with all runs that it is computed from.
 struct Evaluation<'a> {
     quantity: &'a Quantity,
     inputs: Vec<EvaluatedInput<'a>>,
@@ -216,6 +219,7 @@
         Self { quantity, inputs: quantity.inputs.iter().filter_map(evaluated).collect() }
     }
 
+    /// Fills in the fields of a projection that depend on the runs.
     fn complete(&self, projection: Projection) -> Projection {
         let projection = Projection {
             value: self.evaluate(1.0, EvaluatedInput::target_value),
@@ -231,7 +235,7 @@
         }
     }
 
-    /// The quantity at a fraction of the target size, with the value of each input.
+    /// The quantity at a fraction of the target size, computed from the given value of each input.
     fn evaluate(&self, size: f64, value: impl Fn(&EvaluatedInput<'a>) -> f64) -> f64 {
         let values: Vec<f64> = self.inputs.iter().map(value).collect();
         (self.quantity.formula)(size, &values)
@@ -247,7 +251,7 @@
         }
     }
 
-    /// The range of an extrapolated value.
+    /// The range of values according to all plausible forms; `None` if the value is not extrapolated.
     fn range(&self) -> Option<ValueRange> {
         let is_extrapolated =
             matches!(self.source(), Source::Fitted(extrapolation_ratio) if extrapolation_ratio > 1.0);
@@ -257,8 +261,8 @@
         })
     }
 
-    /// The fraction of the target size at which the limit is exceeded. Where the fitted form contradicts what was
-    /// measured at the target itself, the measurement wins: the form is replaced by interpolation.
+    /// The fraction of the target size at which the limit is exceeded. If the fitted curve contradicts the measurement
+    /// at the target size, the measurement takes precedence: the curve is replaced by interpolation.
     fn breaking_point(&self, exceeds_limit: bool) -> Option<f64> {
         let limit = self.quantity.limit?;
         let fitted = |size: f64| self.evaluate(size, |input| input.fitted_value(size));
--- a/crates/capacity-model/src/quantity.rs
+++ b/crates/capacity-model/src/quantity.rs
@@ -1,16 +1,16 @@
-//! A quantity to be projected to the target size: which runs it follows, at which place on their axes, by which formula,
-//! and the limit that it must keep.
+//! A quantity to be evaluated at the target size: the runs that it is computed from, the positions on their axes, the
+//! formula, and the limit.
 
 use std::rc::Rc;
 
-/// Who bears the cost.
+/// The part of the system that bears a cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// A gateway.
     Gateway,
     /// A worker, which all gateways connect to.
     Worker,
-    /// A machine that holds the log of configuration changes.
+    /// A machine that replicates the log of configuration changes.
     ControlMachine,
     /// The service that sends the endpoint list to the gateways.
     EndpointList,
@@ -18,23 +18,23 @@
     Store,
 }
 
-/// What is spent.
+/// The resource that a quantity measures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resource {
-    /// Entries that are kept.
+    /// Number of entries or connections held.
     State,
-    /// Traffic.
+    /// Network traffic.
     Messages,
-    /// Processor time.
+    /// CPU time.
     Cpu,
     /// Memory.
     Memory,
-    /// Latency, or the age of what is known.
+    /// Latency, or the age of information.
     Time,
 }
 
 impl Resource {
-    /// The name as the page prints it.
+    /// The name as printed on the page.
     pub fn label(self) -> &'static str {
         match self {
             Self::State => "state",
@@ -46,50 +46,50 @@
     }
 }
 
-/// A run, and the place on its axes that corresponds to the target size.
+/// A run, and the position on its axes that corresponds to the target size.
 #[derive(Clone, Copy, Debug)]
 pub struct RunInput {
     /// Name of the run.
     pub run: &'static str,
-    /// Place on the first axis.
+    /// Position on the first axis.
     pub size: f64,
-    /// Place on the second axis; 0 if the run has one axis.
+    /// Position on the second axis; 0 if the run has one axis.
     pub second_size: f64,
 }
 
 impl RunInput {
-    /// A place on the axis of a run with one axis.
+    /// A position on the axis of a single-axis run.
     pub fn new(run: &'static str, size: f64) -> Self {
         Self { run, size, second_size: 0.0 }
     }
 }
 
-/// Computes a quantity from the size, as a fraction of the target size, and the values of its runs at that size.
+/// Computes a quantity from the size, given as a fraction of the target size, and the values of its runs at that size.
 pub type Formula = Rc<dyn Fn(f64, &[f64]) -> f64>;
 
-/// A quantity to be projected.
+/// A quantity to be evaluated at the target size.
 #[derive(Clone)]
 pub struct Quantity {
-    /// Who bears the cost.
+    /// The part of the system that bears the cost.
     pub role: Role,
-    /// What is spent.
+    /// The resource that is used.
     pub resource: Resource,
-    /// What the page calls it.
+    /// The name of the quantity on the page.
     pub description: String,
-    /// The mechanism that causes it; `None` for that of the first run.
+    /// The mechanism that causes the cost; `None` for that of the first run.
     pub mechanism: Option<String>,
-    /// The runs that it is computed from.
+    /// The runs that the quantity is computed from.
     pub inputs: Vec<RunInput>,
-    /// How it follows from the runs.
+    /// Computes the quantity from the values of the runs.
     pub formula: Formula,
     /// Unit of the result and of the limit.
     pub unit: &'static str,
-    /// The largest value that meets the target; `None` if there is no limit.
+    /// The largest acceptable value; `None` if there is no limit.
     pub limit: Option<f64>,
 }
 
 impl Quantity {
-    /// The value of one run, unchanged and without a limit.
+    /// A quantity equal to the value of one run, without a limit.
     pub fn from_run(
         role: Role,
         resource: Resource,
@@ -109,8 +109,8 @@
         }
     }
 
-    /// A quantity that follows from the code and the size alone, without a run. `formula` takes the size as a fraction
-    /// of the target size.
+    /// A quantity that is calculated from the size alone, without a run. `formula` takes the size as a fraction of the
+    /// target size.
     pub fn calculated(
         role: Role,
         resource: Resource,
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The sum of at least one quantity, all of one role, resource and unit.
+    /// The sum of one or more quantities, which must have the same role, resource and unit.
     pub fn sum(description: &str, mechanism: &str, parts: &[&Self]) -> Self {
         let summands: Vec<(usize, Formula)> =
             parts.iter().map(|part| (part.inputs.len(), part.formula.clone())).collect();
@@ -154,22 +154,22 @@
         }
     }
 
-    /// The same with the value of its run multiplied by `factor`.
+    /// Replaces the formula by the value of the first run multiplied by `factor`.
     pub fn scaled(self, factor: f64) -> Self {
         self.with_formula(move |_, values| values[0] * factor)
     }
 
-    /// The same with another formula.
+    /// Replaces the formula.
     pub fn with_formula(self, formula: impl Fn(f64, &[f64]) -> f64 + 'static) -> Self {
         Self { formula: Rc::new(formula), ..self }
     }
 
-    /// The same, computed from several runs.
+    /// Replaces the runs.
     pub fn with_inputs(self, inputs: Vec<RunInput>) -> Self {
         Self { inputs, ..self }
     }
 
-    /// The same with a limit, in the unit of the quantity.
+    /// Sets the limit, in the unit of the quantity.
     pub fn with_limit(self, limit: f64) -> Self {
         Self { limit: Some(limit), ..self }
     }
--- a/crates/capacity-model/src/roles/control_machine.rs
+++ b/crates/capacity-model/src/roles/control_machine.rs
@@ -1,4 +1,5 @@
-//! A machine that holds the log of configuration changes and sends them to the gateways that follow it.
+//! Quantities of a control machine, which replicates the log of configuration changes and sends them to the gateways
+//! that follow it.
 
 use super::{KILOBYTES_PER_SECOND, PERCENT_OF_CORE, PERCENT_PER_MILLISECOND};
 use crate::assumptions::{Assumptions, Parameter};
@@ -6,7 +7,7 @@
 
 const MECHANISM: &str = "a replica of the log and its followers (`crates/config-log`)";
 
-/// Control machines that each gateway follows.
+/// Number of control machines that each gateway follows.
 const MACHINES_PER_GATEWAY: f64 = 3.0;
 
 pub(super) fn quantities(assumptions: &Assumptions) -> Vec<Quantity> {
--- a/crates/capacity-model/src/roles/endpoint_list.rs
+++ b/crates/capacity-model/src/roles/endpoint_list.rs
@@ -1,10 +1,10 @@
-//! The service that sends the endpoint list of all workers to the gateways.
+//! Quantities of the service that sends the endpoint list, which contains all workers, to the gateways.
 
 use super::KILOBYTES_PER_SECOND;
 use crate::assumptions::Assumptions;
 use crate::quantity::{Quantity, Resource, Role, RunInput};
 
-/// The longest endpoint list that a gateway reads, in kB: as in `milletpath_protocol::registry`.
+/// Size of the longest endpoint list that a gateway reads, in kB. Same as in `milletpath_protocol::registry`.
 const MAX_LIST_KILOBYTES: f64 = 8_388.608;
 
 pub(super) fn quantities(assumptions: &Assumptions) -> Vec<Quantity> {
--- a/crates/capacity-model/src/roles/gateway/cpu.rs
+++ b/crates/capacity-model/src/roles/gateway/cpu.rs
@@ -1,4 +1,4 @@
-//! CPU of a gateway for control, and of the decisions on its calls, in percent of one core.
+//! CPU that a gateway spends on control and on routing decisions, in percent of one core.
 
 use super::{IDLE_PROOF_CHECKS_PER_SECOND, measured};
 use crate::assumptions::{Assumptions, Parameter};
@@ -6,10 +6,10 @@
 use crate::quantity::{Quantity, Resource, RunInput};
 use crate::roles::{PERCENT_OF_CORE, PERCENT_PER_MILLISECOND};
 
-/// Checks of the quorum proof per second in the measured fleet.
+/// Checks of the quorum proof per second and gateway in the measured fleet.
 const MEASURED_PROOF_CHECKS_PER_SECOND: f64 = 10.0;
 
-/// Bytes of a membership datagram in a large fleet, which carries the assertions of thirty other gateways.
+/// Size of a membership datagram in a large fleet: it carries the assertions of thirty other gateways.
 const DATAGRAM_BYTES: f64 = 700.0;
 
 pub(super) fn quantities(assumptions: &Assumptions, fitted_runs: &FittedRuns) -> Vec<Quantity> {
@@ -19,7 +19,7 @@
     quantities
 }
 
-/// A run that measured milliseconds of CPU per second.
+/// A quantity equal to a run that measured milliseconds of CPU per second.
 fn from_milliseconds(description: &str, run: &'static str, size: f64) -> Quantity {
     percent(description, run, size).scaled(PERCENT_PER_MILLISECOND)
 }
@@ -28,7 +28,7 @@
     measured(Resource::Cpu, description, run, size, PERCENT_OF_CORE)
 }
 
-/// Control in a settled fleet, each mechanism and their sum.
+/// CPU for control in a settled fleet, for each mechanism and in total.
 fn control(assumptions: &Assumptions, fitted_runs: &FittedRuns) -> Vec<Quantity> {
     let (gateways, workers) = (assumptions.target.gateways, assumptions.workers());
     let membership =
@@ -58,7 +58,7 @@
     all.into_iter().map(|quantity| quantity.with_limit(assumptions.target.cpu_percent)).collect()
 }
 
-/// Authenticating and decoding the datagrams that arrive. Their size does not depend on that of the fleet.
+/// CPU for authenticating and decoding received datagrams, whose size does not depend on that of the fleet.
 fn datagram_opening(gateways: f64, fitted_runs: &FittedRuns) -> Quantity {
     let microseconds = fitted_runs.value_or_zero("letter-open", DATAGRAM_BYTES);
     percent("membership datagrams received: authenticated and decoded", "letter-open", DATAGRAM_BYTES)
@@ -69,7 +69,8 @@
         .with_formula(move |_, values| values[0] * microseconds / 1e3 * PERCENT_PER_MILLISECOND)
 }
 
-/// Checks of the quorum proof after each datagram and each 50 ms, beyond those of the measured fleet.
+/// CPU for checking the quorum proof after each datagram and every 50 ms, without the checks that are included in the
+/// measurement of the fleet.
 fn proof_checks(gateways: f64) -> Quantity {
     percent(
         "quorum proof checked after each datagram and each 50 ms, beyond what was measured",
@@ -83,13 +84,13 @@
     })
 }
 
-/// Updates of the endpoint list at a rate that grows with the fleet.
+/// CPU for updates of the endpoint list, whose rate grows with the fleet.
 fn list_updates(description: &str, workers: f64, updates_per_second: f64) -> Quantity {
     percent(description, "list-join", workers)
         .with_formula(move |size, values| values[0] * updates_per_second * size * PERCENT_PER_MILLISECOND)
 }
 
-/// Routing decisions on the gateway's calls, by two distributions of calls over functions.
+/// CPU for routing decisions, with two distributions of calls over functions.
 fn decisions(assumptions: &Assumptions) -> Vec<Quantity> {
     let limit = assumptions.value(Parameter::DecisionCpuPercent);
     let calls = assumptions.calls_per_second_at_gateway();
@@ -104,7 +105,7 @@
     ]
 }
 
-/// Control while the fleet starts, and while the workers of a zone return.
+/// CPU for control while all gateways start, and while the workers of a zone rejoin.
 fn start_and_recovery(assumptions: &Assumptions) -> Vec<Quantity> {
     let limit = assumptions.value(Parameter::RecoveryCpuPercent);
     let starting = from_milliseconds(
--- a/crates/capacity-model/src/roles/gateway/known_functions.rs
+++ b/crates/capacity-model/src/roles/gateway/known_functions.rs
@@ -1,18 +1,18 @@
-//! How many functions a gateway holds state of.
+//! The number of functions for which a gateway holds state.
 
 use crate::assumptions::{Assumptions, Parameter};
 use crate::popularity::Popularity;
 
-/// Functions that the periodic eviction examines for each call.
+/// Number of functions that the incremental eviction examines for each call.
 const EXAMINED_PER_CALL: f64 = 2.0;
 
-/// Iterations of the fixed point; it converges in fewer.
+/// Fixed-point iterations; fewer suffice for convergence.
 const ITERATIONS: usize = 8;
 
 /// The calls that arrive at one gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GatewayCalls {
-    /// Distinct functions that may be called.
+    /// Number of distinct functions that may be called.
     pub functions: f64,
     /// Exponent of the Zipf distribution of calls over functions.
     pub zipf_exponent: f64,
@@ -33,14 +33,14 @@
         }
     }
 
-    /// Functions that the gateway holds state of at a time: those called within the idle timeout, and within the time
-    /// until the periodic eviction reaches them.
+    /// The number of functions for which the gateway holds state at a time: those that were called within the idle
+    /// timeout plus the delay until the incremental eviction reaches them.
     pub fn known_functions(&self) -> f64 {
         let popularity = Popularity::new(self.functions, self.zipf_exponent);
         let known_within = |seconds: f64| popularity.distinct_functions(self.calls_per_second * seconds);
         let mut known = known_within(self.idle_timeout_seconds);
         for _ in 0..ITERATIONS {
-            // On average the eviction is half of its round away.
+            // On average the eviction reaches a function after half a pass over all known functions.
             let eviction_delay = known / (EXAMINED_PER_CALL * self.calls_per_second) / 2.0;
             known = known_within(self.idle_timeout_seconds + eviction_delay);
         }
--- a/crates/capacity-model/src/roles/gateway/latency.rs
+++ b/crates/capacity-model/src/roles/gateway/latency.rs
@@ -1,4 +1,5 @@
-//! How late a gateway learns and decides, and for how long one event blocks all others.
+//! Delays at a gateway: of configuration changes, membership and usage information, of events that block a core, and of
+//! cold starts.
 
 use super::{IDLE_PROOF_CHECKS_PER_SECOND, measured};
 use crate::assumptions::{Assumptions, Parameter};
@@ -8,7 +9,7 @@
 /// Round trip to the farthest region in which workers run, in milliseconds.
 const FARTHEST_ROUND_TRIP_MS: f64 = 150.0;
 
-/// All but the cold start.
+/// All delays except those of cold starts.
 pub(super) fn quantities(assumptions: &Assumptions, fitted_runs: &FittedRuns) -> Vec<Quantity> {
     let mut quantities = vec![config_propagation(assumptions)];
     quantities.extend(stalls(assumptions));
@@ -31,7 +32,7 @@
         .with_limit(target.config_propagation_seconds)
 }
 
-/// Events that block a core, which decides nothing else meanwhile.
+/// Events that block a core, so that it makes no routing decisions meanwhile.
 fn stalls(assumptions: &Assumptions) -> Vec<Quantity> {
     let limit = assumptions.value(Parameter::StallMilliseconds);
     let stall =
@@ -46,8 +47,8 @@
     ]
 }
 
-/// A check of the quorum proof where all gateways assert different views. The membership link falls behind where it
-/// takes longer than the time between two checks.
+/// The time of a quorum proof check when all gateways assert different views. If it takes longer than the interval
+/// between two checks, the membership link falls behind.
 fn slowest_proof_check(assumptions: &Assumptions, fitted_runs: &FittedRuns) -> Quantity {
     let gateways = assumptions.target.gateways;
     let checks_per_second =
@@ -60,7 +61,7 @@
     .with_limit(1e3 / checks_per_second)
 }
 
-/// Ages of what a gateway knows of the others.
+/// Ages of the information that a gateway has about others.
 fn ages(assumptions: &Assumptions) -> Vec<Quantity> {
     let gateways = assumptions.target.gateways;
     vec![
@@ -71,7 +72,8 @@
     ]
 }
 
-/// What a gateway adds to a cold start. Its limit is what load time and network leave of the target.
+/// The time that the gateway adds to a cold start. The limit is the target minus the load time and the network round
+/// trip.
 pub(super) fn cold_start(assumptions: &Assumptions) -> Vec<Quantity> {
     let workers = assumptions.workers();
     let bound = assumptions.target.cold_start_seconds - assumptions.value(Parameter::LoadSeconds);
--- a/crates/capacity-model/src/roles/gateway/memory.rs
+++ b/crates/capacity-model/src/roles/gateway/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of a gateway's control state, and of its dispatcher as a whole.
+//! Memory of the control state of a gateway, and of its dispatcher as a whole.
 
 use super::{GatewayCalls, measured};
 use crate::assumptions::Assumptions;
@@ -33,7 +33,7 @@
     measured(Resource::Memory, description, input.run, input.size, "MB").with_inputs(vec![input])
 }
 
-/// State of the known functions, which grows with their number and with that of the workers.
+/// The run of the memory for known functions, which grows with their number and with that of the workers.
 fn known_functions(assumptions: &Assumptions) -> RunInput {
     RunInput {
         run: "memory-known",
--- a/crates/capacity-model/src/roles/gateway/messages.rs
+++ b/crates/capacity-model/src/roles/gateway/messages.rs
@@ -5,7 +5,7 @@
 use crate::quantity::{Quantity, Resource};
 use crate::roles::KILOBYTES_PER_SECOND;
 
-/// A run measured what a gateway sends; it receives as much.
+/// The runs measure what a gateway sends; it receives as much.
 const DIRECTIONS: f64 = 2.0;
 
 pub(super) fn quantities(assumptions: &Assumptions) -> Vec<Quantity> {
@@ -56,7 +56,7 @@
     measured(Resource::Messages, description, run, size, KILOBYTES_PER_SECOND)
 }
 
-/// Updates of the endpoint list, one entry each, at a rate that grows with the fleet.
+/// Traffic of endpoint list updates of one entry each, whose rate grows with the fleet.
 fn list_updates(description: &str, workers: f64, updates_per_second: f64) -> Quantity {
     kilobytes(description, "list-entry", workers)
         .with_formula(move |size, values| values[0] * updates_per_second * size / 1e3)
--- a/crates/capacity-model/src/roles/gateway/mod.rs
+++ b/crates/capacity-model/src/roles/gateway/mod.rs
@@ -1,5 +1,4 @@
-//! What a gateway spends at the target size beside forwarding its calls: state, memory, CPU, messages, and how late it
-//! learns and decides.
+//! Quantities of a gateway besides the forwarding of calls: state, memory, CPU, messages and delays.
 
 mod cpu;
 mod known_functions;
@@ -15,10 +14,10 @@
 use crate::fitted_runs::FittedRuns;
 use crate::quantity::{Quantity, Resource, Role, RunInput};
 
-/// Looks of the membership link at the quorum proof per second while no datagram arrives: one each 50 ms.
+/// Checks of the quorum proof per second that the membership link makes without received datagrams: one every 50 ms.
 const IDLE_PROOF_CHECKS_PER_SECOND: f64 = 20.0;
 
-/// A gateway's quantities, in the order of the page.
+/// All quantities of a gateway, in the order of the page.
 pub(super) fn quantities(assumptions: &Assumptions, fitted_runs: &FittedRuns) -> Vec<Quantity> {
     [
         state::quantities(assumptions),
@@ -32,7 +31,7 @@
     .concat()
 }
 
-/// The value of one run at a place on its axis.
+/// A gateway's quantity that equals one run at a position on its axis.
 fn measured(
     resource: Resource,
     description: impl Into<String>,
--- a/crates/capacity-model/src/roles/gateway/state.rs
+++ b/crates/capacity-model/src/roles/gateway/state.rs
@@ -1,10 +1,10 @@
-//! Entries that a gateway keeps.
+//! Entries that a gateway keeps: functions, gateways and workers.
 
 use super::GatewayCalls;
 use crate::assumptions::Assumptions;
 use crate::quantity::{Quantity, Resource, Role};
 
-/// Workers that a gateway can hold at a time: the capacity of its worker table.
+/// Capacity of a gateway's worker table.
 const MAX_WORKERS: f64 = 65_536.0;
 
 pub(super) fn quantities(assumptions: &Assumptions) -> Vec<Quantity> {
--- a/crates/capacity-model/src/roles/gateway/usage_reports.rs
+++ b/crates/capacity-model/src/roles/gateway/usage_reports.rs
@@ -1,4 +1,4 @@
-//! Limits of the usage reports by which gateways learn the concurrency of a function in the whole fleet.
+//! Limits of the usage reports, from which gateways learn the concurrency of a function in the whole fleet.
 
 use super::measured;
 use crate::assumptions::{Assumptions, Parameter};
@@ -10,22 +10,25 @@
 /// Mean execution time of a call at its worker, in seconds.
 const MEAN_CALL_SECONDS: f64 = 0.06;
 
-/// As in `milletpath_shared_budgets::usage_counts`: buckets of functions, each summed by one gateway.
+/// Number of buckets of functions; the reports of each are summed by one gateway. Same as in
+/// `milletpath_shared_budgets::usage_counts`.
 const BUCKETS: f64 = 16.0;
 
-/// The period of reports in a fleet of up to [`GATEWAYS_PER_BASE_PERIOD`], in seconds; it grows with larger fleets.
+/// Interval between the reports of a gateway, in seconds, in a fleet of up to [`GATEWAYS_PER_BASE_PERIOD`]. In larger
+/// fleets it grows in proportion to their size.
 const BASE_PERIOD_SECONDS: f64 = 0.8;
 const GATEWAYS_PER_BASE_PERIOD: f64 = 48.0;
 
-/// Concurrency of a function at one gateway below which it is not reported.
+/// A function with a lower concurrency at a gateway is not reported by it.
 const MIN_REPORTED_CONCURRENCY: f64 = 0.02;
 
-/// As in `milletpath_shared_budgets::message`: bytes around a message, bytes of an entry, and entries at most.
+/// Bytes of a message without its entries, bytes per entry, and maximum number of entries. Same as in
+/// `milletpath_shared_budgets::message`.
 const MESSAGE_OVERHEAD_BYTES: f64 = 150.0;
 const ENTRY_BYTES: f64 = 20.0;
 const MAX_ENTRIES: f64 = 48.0;
 
-/// As in `milletpath_shared_budgets::outbox`: the limit on a gateway's messages, in kB per second.
+/// Limit on the messages of a gateway, in kB per second. Same as in `milletpath_shared_budgets::outbox`.
 const MAX_KILOBYTES_PER_SECOND: f64 = 10.0;
 
 pub(super) fn quantities(assumptions: &Assumptions, fitted_runs: &FittedRuns) -> Vec<Quantity> {
@@ -36,8 +39,8 @@
     ]
 }
 
-/// The concurrency that a function needs in the whole fleet to be reported, against that at which it needs more than
-/// one worker.
+/// The concurrency in the whole fleet below which a function is not reported. The limit is the concurrency of one
+/// instance, as only functions that need more than one instance have to be reported.
 fn smallest_reported(assumptions: &Assumptions) -> Quantity {
     let gateways = assumptions.target.gateways;
     Quantity::calculated(
@@ -51,7 +54,8 @@
     .with_limit(assumptions.value(Parameter::ConcurrentCallsPerInstance))
 }
 
-/// Functions that keep more than one instance busy in the whole fleet, at a fraction of the target size.
+/// The number of functions that keep more than one instance busy in the whole fleet, by the fraction of the target
+/// size.
 fn functions_on_several_instances(assumptions: &Assumptions) -> impl Fn(f64) -> f64 + 'static {
     let (functions, calls) = (assumptions.target.functions, assumptions.target.calls_per_second);
     let zipf = assumptions.value(Parameter::ZipfExponent);
@@ -62,7 +66,7 @@
     }
 }
 
-/// Of those functions, how many a gateway receives the concurrency of.
+/// The number of those functions whose concurrency a gateway receives.
 fn functions_received(assumptions: &Assumptions, fitted_runs: &FittedRuns) -> Quantity {
     const RUN: &str = "counts-functions";
     let needed = functions_on_several_instances(assumptions)(1.0);
@@ -72,7 +76,8 @@
     measured(Resource::State, description, RUN, needed, "functions").with_formula(move |_, _| received)
 }
 
-/// What a gateway that sums one bucket answers to all reports of it, against the limit on its messages.
+/// Traffic of the answers that a gateway which sums one bucket sends to all gateways that report to it, compared with
+/// the limit on its messages.
 fn answers_of_summing_gateway(assumptions: &Assumptions) -> Quantity {
     let gateways = assumptions.target.gateways;
     let functions = functions_on_several_instances(assumptions);
--- a/crates/capacity-model/src/roles/mod.rs
+++ b/crates/capacity-model/src/roles/mod.rs
@@ -1,4 +1,4 @@
-//! The quantities of each role: which runs they follow, at which place on the axes, and their limits.
+//! The quantities of each role: the runs that they are computed from, the positions on the axes, and the limits.
 
 mod control_machine;
 mod endpoint_list;
@@ -11,14 +11,14 @@
 use crate::projection::{Projection, project};
 use crate::quantity::Quantity;
 
-/// Percent of one core that a millisecond of CPU a second is.
+/// Converts milliseconds of CPU per second into percent of one core.
 const PERCENT_PER_MILLISECOND: f64 = 0.1;
 
 const PERCENT_OF_CORE: &str = "% of a core";
 
 const KILOBYTES_PER_SECOND: &str = "kB/s";
 
-/// All quantities projected to the target size, in the order of the page.
+/// All quantities evaluated at the target size, in the order of the page.
 pub fn projections(assumptions: &Assumptions, fitted_runs: &FittedRuns) -> Vec<Projection> {
     let quantities: Vec<Quantity> = [
         gateway::quantities(assumptions, fitted_runs),
--- a/crates/capacity-model/src/roles/store.rs
+++ b/crates/capacity-model/src/roles/store.rs
@@ -1,4 +1,4 @@
-//! The store from which workers fetch functions.
+//! Quantities of the store from which workers fetch functions.
 
 use crate::assumptions::Assumptions;
 use crate::quantity::{Quantity, Resource, Role, RunInput};
--- a/crates/capacity-model/src/roles/worker.rs
+++ b/crates/capacity-model/src/roles/worker.rs
@@ -1,9 +1,9 @@
-//! A worker's side of control: connections, health checks and load requests of all gateways.
+//! Quantities of a worker: connections, health checks and load requests from all gateways.
 
 use crate::assumptions::{Assumptions, Parameter};
 use crate::quantity::{Quantity, Resource, Role, RunInput};
 
-/// Seconds for which a gateway keeps an idle connection to a worker: the default of its configuration.
+/// Seconds for which a gateway keeps an idle connection to a worker. Same as the default of its configuration.
 const CONNECTION_IDLE_SECONDS: f64 = 30.0;
 
 pub(super) fn quantities(assumptions: &Assumptions) -> Vec<Quantity> {
@@ -22,7 +22,8 @@
     ]
 }
 
-/// Gateways that sent a call within the time that a connection is kept, where calls spread evenly over the workers.
+/// The expected number of gateways that sent a call to the worker within the time for which an idle connection is
+/// kept, if calls are spread evenly over the workers.
 fn average_connections(assumptions: &Assumptions) -> Quantity {
     let (workers, gateways) = (assumptions.workers(), assumptions.target.gateways);
     let calls_per_gateway = assumptions.target.calls_per_second / gateways;
@@ -41,7 +42,7 @@
     .with_limit(assumptions.value(Parameter::WorkerConnections))
 }
 
-/// A worker that holds a function which all gateways call.
+/// Connections at a worker that runs a function which all gateways call.
 fn connections_of_popular_worker(assumptions: &Assumptions) -> Quantity {
     let gateways = assumptions.target.gateways;
     Quantity::calculated(
--- a/crates/capacity-model/src/run.rs
+++ b/crates/capacity-model/src/run.rs
@@ -1,21 +1,21 @@
-//! One slope as it was measured: a quantity of one mechanism at several sizes, with the command and the seed that
-//! reproduce it. The bench `slopes` writes one JSON file a run; the page is made of nothing else.
+//! A run: measurements of one quantity at several sizes, with the command and the seed that reproduce them. Runs are
+//! stored as one JSON file each, written by the bench `slopes` or derived from scale tests.
 
 use crate::error::{CapacityError, RunError};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Sizes that a run needs at least: no form of growth is fitted to fewer.
+/// Minimum number of sizes in a run: no growth curve is fitted to fewer.
 pub const MIN_SIZES: usize = 4;
 
-/// File name, without extension, of the assumptions beside the runs.
+/// Name, without extension, of the assumptions file in the folder of runs.
 const ASSUMPTIONS_FILE_STEM: &str = "assumptions";
 
-/// Prefix of the files that hold results of scale tests.
+/// File name prefix of scale test results.
 const SCALE_FILE_PREFIX: &str = "scale-";
 
-/// The repeats at one size.
+/// The measurements at one size, summarized over the repeats.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Measurement {
@@ -25,13 +25,14 @@
     /// Position on the second axis, if the run has one.
     #[serde(rename = "and", default, skip_serializing_if = "Option::is_none")]
     pub second_size: Option<f64>,
-    /// Median of the repeats (the upper one of an even number), in [`Run::unit`].
+    /// Median of the repeats (the upper median if their number is even), in [`Run::unit`]. Derived runs store another
+    /// statistic here, which their method names.
     #[serde(rename = "value")]
     pub median: f64,
-    /// Smallest of the repeats.
+    /// Smallest repeat; in derived runs the median.
     #[serde(rename = "low")]
     pub min: f64,
-    /// Largest of the repeats.
+    /// Largest repeat.
     #[serde(rename = "high")]
     pub max: f64,
     /// Number of repeats.
@@ -46,11 +47,11 @@
     }
 }
 
-/// One measured slope.
+/// Measurements of one quantity at several sizes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Run {
-    /// Unique name; also the stem of its file.
+    /// Unique name; also the stem of the file name.
     pub name: String,
     /// The mechanism that causes the cost.
     pub mechanism: String,
@@ -59,24 +60,24 @@
     pub quantity: String,
     /// Unit of the quantity.
     pub unit: String,
-    /// What the first axis counts.
+    /// Name of the first axis.
     pub axis: String,
-    /// What the second axis counts, if there is one.
+    /// Name of the second axis, if there is one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub second_axis: Option<String>,
-    /// Parameters that were equal at all sizes.
+    /// Parameters that were the same at all sizes.
     pub fixed: BTreeMap<String, f64>,
-    /// How it was measured, and what is included beside the mechanism.
+    /// How the quantity was measured, and what the values include besides the mechanism.
     pub method: String,
     /// The command that reproduces the run.
     pub command: String,
     /// Seed of the run's random numbers.
     pub seed: u64,
-    /// Day of the measurement in UTC, as `2026-12-02`.
+    /// Date of the measurement in UTC, such as `2026-12-02`.
     pub date: String,
-    /// Cores of the machine.
+    /// Number of cores of the machine.
     pub cores: usize,
-    /// The measurements, one for each size.
+    /// One measurement for each size.
     #[serde(rename = "sizes")]
     pub measurements: Vec<Measurement>,
 }
@@ -107,8 +108,8 @@
         self.measurements.iter().map(|m| m.size).fold(0.0, f64::max)
     }
 
-    /// The median at a size between two measured ones, by linear interpolation: from the origin up to the smallest
-    /// size, and constant beyond the largest.
+    /// The median at a size, by linear interpolation between measured sizes; below the smallest size between it and the
+    /// origin, beyond the largest size constant.
     pub fn interpolate(&self, size: f64) -> f64 {
         let mut points: Vec<(f64, f64)> = self.measurements.iter().map(|m| (m.size, m.median)).collect();
         points.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -123,7 +124,7 @@
 /// Reads and validates one run.
 ///
 /// # Errors
-/// The file cannot be read, is not a run, or holds too few or invalid measurements.
+/// The file cannot be read, is not a run, or has too few or invalid measurements.
 pub fn read(path: &Path) -> Result<Run, CapacityError> {
     let text = std::fs::read_to_string(path).map_err(|source| CapacityError::read_file(path, source))?;
     let run: Run = serde_json::from_str(&text)
@@ -132,10 +133,10 @@
     Ok(run)
 }
 
-/// Reads all runs of a folder by name: every JSON file but the assumptions and the results of scale tests.
+/// Reads all runs of a folder, by name: every JSON file except the assumptions and the scale test results.
 ///
 /// # Errors
-/// The folder cannot be listed, a run cannot be read, or its name is not that of its file.
+/// The folder cannot be listed, a run cannot be read, or its name differs from that of its file.
 pub fn read_all(folder: &Path) -> Result<BTreeMap<String, Run>, CapacityError> {
     let entries = std::fs::read_dir(folder).map_err(|source| CapacityError::read_folder(folder, source))?;
     let mut runs = BTreeMap::new();
@@ -151,7 +152,7 @@
     Ok(runs)
 }
 
-/// The stem of a file that holds a run; `None` for any other file.
+/// The stem of the file name if the file is a run; `None` for other files.
 fn run_stem(path: &Path) -> Option<String> {
     if path.extension()? != "json" {
         return None;
--- a/crates/capacity-model/src/scale.rs
+++ b/crates/capacity-model/src/scale.rs
@@ -1,5 +1,5 @@
-//! Results of scale tests, which run a whole fleet: the last lines of `milletpath scale --json`, one or several to a
-//! file, in `docs/capacity/scale-*.json`. What a line does not hold was not measured.
+//! Results of scale tests, which run a whole fleet. They are the final lines printed by `milletpath scale --json`, one
+//! or several per file, in `docs/capacity/scale-*.json`. A value that is absent from a line was not measured.
 
 use crate::error::CapacityError;
 use serde::Deserialize;
@@ -9,7 +9,7 @@
 const FILE_PREFIX: &str = "scale-";
 const FILE_SUFFIX: &str = ".json";
 
-/// A quantity over all gateways of a fleet, in the unit of its key.
+/// The distribution of a quantity over the gateways of a fleet; its key determines the unit.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub struct Distribution {
     /// Median.
@@ -18,66 +18,66 @@
     pub p99: Option<f64>,
     /// Largest value.
     pub worst: Option<f64>,
-    /// For the propagation of an event: how many times a gateway never learned of it.
+    /// For the propagation of events: the number of times that a gateway never learned of an event.
     pub never: Option<u64>,
 }
 
 impl Distribution {
-    /// Whether every gateway learned of the event, the last one within `bound` seconds.
+    /// Whether the event reached every gateway within `bound` seconds.
     pub fn reached_all_within(&self, bound: f64) -> bool {
         self.never.unwrap_or(0) == 0 && self.worst.or(self.p99).is_some_and(|worst| worst <= bound)
     }
 }
 
-/// The load on the machine that ran the fleet.
+/// The load on the machine that ran the scale test.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 pub struct MachineLoad {
-    /// Whether the machine was so busy that contention is part of the measured values.
+    /// Whether the machine was so busy that contention distorts the measured values.
     pub saturated: Option<bool>,
-    /// Used fraction of all cores over the whole run.
+    /// Utilization of all cores over the whole run, as a fraction.
     pub busy: Option<f64>,
-    /// Cores of the machine.
+    /// Number of cores of the machine.
     pub cores: Option<usize>,
 }
 
 /// The result of one scale test.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct ScaleRun {
-    /// Name of the file that holds the result.
+    /// Name of the file that contains the result.
     #[serde(default)]
     pub file: String,
-    /// Gateways of the fleet.
+    /// Number of gateways in the fleet.
     pub gateways: u64,
     /// Seed of the run's random numbers.
     pub seed: u64,
-    /// Violated bounds, each a description.
+    /// Descriptions of the violated bounds.
     #[serde(default)]
     pub broken: Vec<serde_json::Value>,
     /// Control cost of a gateway: `cpu` as a fraction of a core, `memory_mb`, `bytes_in` and `bytes_out` per second.
     #[serde(default)]
     pub control: BTreeMap<String, Distribution>,
-    /// The part of it that following configuration changes costs.
+    /// The part of the control cost that is spent on following configuration changes.
     #[serde(default)]
     pub control_changes: BTreeMap<String, Distribution>,
-    /// Cost of a control machine, by the same keys.
+    /// Cost of a control machine, with the same keys.
     #[serde(default)]
     pub control_machines: BTreeMap<String, Distribution>,
-    /// Seconds until all gateways know of a `death`, a `join`, a `change`.
+    /// Seconds until gateways know of an event: a `death`, a `join` or a `change`.
     #[serde(default)]
     pub known: BTreeMap<String, Distribution>,
-    /// Steps of the plan that were left out.
+    /// Steps of the test plan that were skipped.
     #[serde(default)]
     pub not_played: Vec<String>,
     /// Load on the machine.
     #[serde(default)]
     pub machine: MachineLoad,
-    /// Mechanisms that were enabled, if the result names them.
+    /// The mechanisms that were enabled, if the result lists them.
     #[serde(default)]
     pub runs: Option<Vec<String>>,
 }
 
 impl ScaleRun {
-    /// Whether a mechanism was enabled.
+    /// Whether a mechanism is known to have been enabled.
     pub fn enabled(&self, mechanism: &str) -> bool {
         self.runs.as_ref().is_some_and(|runs| runs.iter().any(|run| run == mechanism))
     }
@@ -87,7 +87,7 @@
         self.machine.saturated == Some(true)
     }
 
-    /// Seconds until a configuration change was known to all, if it was measured.
+    /// Seconds until a configuration change was known at the gateways, if it was measured.
     pub fn change_propagation(&self) -> Option<&Distribution> {
         self.known.get("change")
     }
@@ -98,10 +98,10 @@
     }
 }
 
-/// Reads all results of a folder, the smallest fleets first. Lines of progress are skipped.
+/// Reads all results in a folder, sorted by fleet size. Progress lines are skipped.
 ///
 /// # Errors
-/// The folder or a file cannot be read, a line is not JSON, or a file holds no result.
+/// The folder or a file cannot be read, a line is not JSON, a result is invalid, or a file contains no result.
 pub fn read_all(folder: &Path) -> Result<Vec<ScaleRun>, CapacityError> {
     let entries = std::fs::read_dir(folder).map_err(|source| CapacityError::read_folder(folder, source))?;
     let mut scale_runs = Vec::new();
@@ -136,7 +136,7 @@
     Ok(scale_runs)
 }
 
-/// Whether a line is a result, as against a line of progress.
+/// Whether a line is a result rather than a progress line.
 fn is_result(value: &serde_json::Value) -> bool {
     let has = |key: &str| value.get(key).is_some();
     has("gateways") && has("seed") && (has("control") || has("known"))
--- a/crates/capacity-model/src/shortfalls.rs
+++ b/crates/capacity-model/src/shortfalls.rs
@@ -1,12 +1,12 @@
-//! Where the fleet falls short of its target: missing mechanisms, mechanisms that fail by design or in a scale test, and
-//! projections that exceed their limit.
+//! Requirements that the fleet does not meet at the target size: because a mechanism is missing, by design, according
+//! to a scale test, or because a projected value exceeds its limit.
 
 use crate::assumptions::Assumptions;
 use crate::number::number;
 use crate::projection::Projection;
 use crate::scale::{Distribution, ScaleRun};
 
-/// How the scale test reports that membership never converged.
+/// Prefix of the violation that a scale test reports if membership never converged.
 const NEVER_CONVERGED_PREFIX: &str = "never settled";
 
 /// A requirement that is not met at the target size.
@@ -14,21 +14,21 @@
 pub struct Shortfall {
     /// The requirement.
     pub description: String,
-    /// Why it is not met.
+    /// Why the requirement is not met.
     pub reason: String,
-    /// The fraction of the target size from which on it is not met.
+    /// The fraction of the target size from which on the requirement is not met.
     pub breaking_point: f64,
     /// See [`Projection::breaks_below_measured`].
     pub breaks_below_measured: bool,
 }
 
 impl Shortfall {
-    /// A shortfall whose breaking point was observed or calculated.
+    /// A shortfall whose breaking point was observed or calculated rather than projected.
     fn observed(description: impl Into<String>, reason: String, breaking_point: f64) -> Self {
         Self { description: description.into(), reason, breaking_point, breaks_below_measured: false }
     }
 
-    /// A projection that exceeds its limit.
+    /// The shortfall of a projection that exceeds its limit.
     fn projected(projection: &Projection) -> Self {
         let reason = format!(
             "{}: {} {}, limit {}; {}",
@@ -47,7 +47,7 @@
     }
 }
 
-/// The projections that exceed their limit together with other shortfalls, by ascending breaking point.
+/// Combines the projections that exceed their limit with other shortfalls, sorted by breaking point.
 pub fn rank(projections: &[Projection], others: &[Shortfall]) -> Vec<Shortfall> {
     let exceeded = projections.iter().filter(|projection| projection.exceeds_limit());
     let mut ranked: Vec<Shortfall> =
@@ -56,8 +56,8 @@
     ranked
 }
 
-/// Shortfalls that do not follow from a slope: a missing mechanism, failures in scale tests, and the loss of quorum when
-/// regions are partitioned. A scale test in which changes reach all gateways in time removes the first.
+/// Shortfalls that do not follow from a projection: configuration changes that do not reach all gateways in time,
+/// failures in scale tests, and the loss of quorum when regions are partitioned.
 pub fn shortfalls(assumptions: &Assumptions, scale_runs: &[ScaleRun]) -> Vec<Shortfall> {
     let found = [
         config_propagation(assumptions, scale_runs),
@@ -68,7 +68,7 @@
     found.into_iter().flatten().collect()
 }
 
-/// Propagation of configuration changes: missing, not shown at the target size, or too slow.
+/// Propagation of configuration changes is missing, too slow in a scale test, or untested at the target size.
 fn config_propagation(assumptions: &Assumptions, scale_runs: &[ScaleRun]) -> Option<Shortfall> {
     let target = &assumptions.target;
     let (gateways, bound) = (target.gateways, target.config_propagation_seconds);
@@ -99,8 +99,8 @@
     )
 }
 
-/// The smallest fleet of real threads and sockets in which half of the gateways spent more CPU on control than is
-/// granted.
+/// The smallest fleet in a scale test, which uses real threads and sockets, whose median gateway spent more CPU on
+/// control than the target allows.
 fn control_cpu(assumptions: &Assumptions, scale_runs: &[ScaleRun]) -> Option<Shortfall> {
     let target = &assumptions.target;
     let median_percent = |run: &ScaleRun| run.control.get("cpu")?.p50.map(|cpu| 100.0 * cpu);
@@ -119,7 +119,7 @@
     Some(Shortfall::observed(description, reason, smallest.gateways as f64 / target.gateways))
 }
 
-/// The smallest fleet whose membership did not converge in some step of the scale test.
+/// The smallest fleet whose membership did not converge in some step of a scale test.
 fn membership_convergence(assumptions: &Assumptions, scale_runs: &[ScaleRun]) -> Option<Shortfall> {
     let violation = |run: &ScaleRun| {
         let descriptions = run.broken.iter().filter_map(|broken| broken.as_str());
@@ -135,7 +135,7 @@
     Some(Shortfall::observed("membership converges, in the scale test", reason, breaking_point))
 }
 
-/// Equal regions that are partitioned from each other: none has a quorum as soon as there are two.
+/// If regions of equal size are partitioned from each other, none of them has a quorum, from two regions on.
 fn quorum_across_regions(assumptions: &Assumptions) -> Option<Shortfall> {
     let target = &assumptions.target;
     let lacks_quorum = |regions: &usize| target.gateways / *regions as f64 <= target.gateways / 2.0;
