--- a/crates/capacity-model/benches/slopes/dispatcher.rs
+++ b/crates/capacity-model/benches/slopes/dispatcher.rs
@@ -1,20 +1,20 @@
-//! The dispatcher against the number of workers: a call's cost, memory, health checks, load requests and cold starts.
+//! The dispatcher against the number of workers: CPU per call, memory, health checks, load requests and cold starts.
 
 use crate::dispatcher_simulation::{DispatcherMetrics, simulate};
 use crate::fleet_load::{FleetLoad, TARGET_LOAD};
 use crate::measure::{Options, RunDescription, cpu_seconds, measurement};
 use milletpath_capacity_model::run::Measurement;
 
-/// Numbers of workers that are measured; from few on, as a call's cost passes its limit early.
+/// Measured numbers of workers. They start small, as the CPU per call exceeds its limit with few workers already.
 const WORKER_COUNTS: [usize; 7] = [30, 100, 300, 1_000, 3_000, 9_100, 30_000];
 
-/// Those among which cold starts are measured.
+/// Numbers of workers with which cold starts are measured.
 const COLD_START_WORKER_COUNTS: [usize; 4] = [300, 1_000, 3_000, 9_100];
 
-/// A distribution of calls by which more functions are known at a time.
+/// Exponent of a flatter distribution of calls, with which more functions are known at a time.
 pub const FLAT_EXPONENT: f64 = 1.1;
 
-/// CPU of a call against the number of workers; other slopes take its texts.
+/// CPU per call against the number of workers; other descriptions reuse its texts.
 pub const CALL_CPU: RunDescription = RunDescription {
     name: "call-workers",
     mechanism: "decision on a call: passes over the function's whole walk and its set (`Router::place`)",
@@ -27,7 +27,7 @@
     group: "desk",
 };
 
-/// Memory of the dispatcher against the number of workers; other slopes take its texts.
+/// Memory of the dispatcher against the number of workers; other descriptions reuse its texts.
 pub const DISPATCHER_MEMORY: RunDescription = RunDescription {
     name: "memory-workers",
     mechanism: "each function known keeps its walk over all workers (`Function::walk`)",
@@ -38,11 +38,11 @@
     ..CALL_CPU
 };
 
-/// Fixed parameters with the flat distribution.
+/// Fixed parameters of the runs with the flatter distribution.
 const FIXED_PARAMETERS_FLAT: &[(&str, f64)] =
     &[("gateways", 1_100.0), ("functions", 33_000.0), ("calls a second", 145.0), ("zipf", 1.1)];
 
-/// A simulation at one place on an axis.
+/// The result of a simulation at one position on an axis.
 pub struct SizedMetrics {
     pub size: f64,
     pub metrics: DispatcherMetrics,
@@ -67,7 +67,7 @@
     loads.into_iter().map(simulate_size).collect()
 }
 
-/// One quantity of all reports.
+/// The measurements of one quantity in all simulations.
 pub fn measurements(
     results: &[SizedMetrics],
     values: impl Fn(&DispatcherMetrics) -> Vec<f64>,
@@ -75,7 +75,7 @@
     results.iter().map(|sized| measurement(sized.size, values(&sized.metrics))).collect()
 }
 
-/// The value below which a fraction of all values lies: 0.5 is the median. 0 without values.
+/// The quantile of a set of values; 0 if it is empty. A fraction of 0.5 gives the median.
 pub fn quantile(values: &[f64], fraction: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -111,7 +111,7 @@
     DISPATCHER_MEMORY.write(options, measurements(&results, |metrics| metrics.megabytes.clone()));
 }
 
-/// The same with the flat distribution.
+/// Measures CPU per call, memory and known functions with the flatter distribution.
 pub fn measure_workers_flat(options: &Options) {
     let flat = FleetLoad { zipf_exponent: FLAT_EXPONENT, ..TARGET_LOAD };
     let results = simulate_sizes(options, loads_by_workers(WORKER_COUNTS, flat));
@@ -130,7 +130,7 @@
     .write(options, measurements(&results, |metrics| metrics.functions.clone()));
 }
 
-/// The gateway's part of a cold start, with the flat distribution, so that there are hundreds of them.
+/// Measures the gateway's part of a cold start. The flatter distribution yields hundreds of cold starts.
 pub fn measure_cold_starts(options: &Options) {
     let flat = FleetLoad { zipf_exponent: FLAT_EXPONENT, ..TARGET_LOAD };
     let results = simulate_sizes(options, loads_by_workers(COLD_START_WORKER_COUNTS, flat));
--- a/crates/capacity-model/benches/slopes/dispatcher_axes.rs
+++ b/crates/capacity-model/benches/slopes/dispatcher_axes.rs
@@ -1,5 +1,5 @@
-//! The dispatcher along its other axes: functions, calls a second, gateways, instances, updates of the endpoint list. There
-//! are fewer workers than at the target size, so that it ends in minutes; each run states how many.
+//! The dispatcher against functions, calls per second, gateways, instances and updates of the endpoint list. There are
+//! fewer workers than at the target size, so that the simulations end within minutes; each run states their number.
 
 use crate::dispatcher::{
     CALL_CPU, DISPATCHER_MEMORY, FLAT_EXPONENT, SizedMetrics, measurements, quantile, simulate_sizes,
@@ -9,10 +9,10 @@
 use crate::measure::{Options, RunDescription, measurement};
 use milletpath_capacity_model::run::Measurement;
 
-/// One of 1,100 gateways, among fewer workers.
+/// The load of one of 1,100 gateways, with fewer workers than at the target size.
 const FEWER_WORKERS: FleetLoad = FleetLoad { workers: 1_000, ..TARGET_LOAD };
 
-/// Fixed parameters along the last two axes.
+/// Fixed parameters of the runs against instances and list updates.
 const FIXED_PARAMETERS: &[(&str, f64)] = &[
     ("gateways", 1_100.0),
     ("workers", 1_000.0),
@@ -21,7 +21,7 @@
     ("zipf", 1.6),
 ];
 
-/// Many functions, so that the number of those known varies.
+/// A flatter distribution of calls, so that the number of known functions varies with that of all functions.
 const MANY_FUNCTIONS: FleetLoad = FleetLoad { workers: 3_000, zipf_exponent: FLAT_EXPONENT, ..TARGET_LOAD };
 
 pub fn measure_functions(options: &Options) {
@@ -37,7 +37,7 @@
     known_functions(options, &results, memory);
 }
 
-/// Memory against the number of known functions and that of workers.
+/// Measures memory against the numbers of known functions and workers.
 fn known_functions(options: &Options, by_functions: &[SizedMetrics], memory: RunDescription) {
     let mut known: Vec<Measurement> =
         by_functions.iter().map(|sized| memory_of_known(&sized.metrics, MANY_FUNCTIONS.workers)).collect();
@@ -81,7 +81,7 @@
     write_call_cost(options, loads, description);
 }
 
-/// By the idle timeout the number of loaded instances varies.
+/// Measures CPU per call against the number of loaded instances, which is varied through the idle timeout.
 pub fn measure_instances(options: &Options) {
     let loads = [10.0, 20.0, 40.0, 80.0, 160.0]
         .map(|idle_timeout| (idle_timeout, FleetLoad { idle_timeout, ..FEWER_WORKERS }));
--- a/crates/capacity-model/benches/slopes/dispatcher_simulation.rs
+++ b/crates/capacity-model/benches/slopes/dispatcher_simulation.rs
@@ -1,5 +1,6 @@
-//! The dispatcher of one of many gateways, without sockets and in simulated time: what a call costs it, what it holds once
-//! it is steady, how often it sends health checks and load requests, and its part of a cold start.
+//! Simulates the dispatcher of one gateway of a fleet, without sockets and in simulated time. Measured are CPU per
+//! call, memory in the steady state, the rates of health checks and load requests, and the dispatcher's part of a
+//! cold start.
 
 use crate::endpoint_list::{dispatcher, endpoints};
 use crate::event_queue::EventQueue;
@@ -17,42 +18,42 @@
 use rand_distr::{Distribution, Exp, Zipf};
 use std::collections::HashMap;
 
-/// Simulated seconds beyond the idle timeout until the state is steady: what was called first has been evicted.
+/// Simulated seconds beyond the idle timeout until the state is steady: the first instances have been evicted by then.
 const WARM_UP_SECONDS: f64 = 20.0;
 
-/// Windows that are measured then, and the seconds of each.
+/// Number and duration of the measured windows, which follow the warm-up.
 const WINDOW_COUNT: usize = 5;
 const WINDOW_SECONDS: f64 = 5.0;
 
-/// Mean execution time of a call, in seconds.
+/// Mean execution time of a call.
 const MEAN_EXECUTION_SECONDS: f64 = 0.05;
 
-/// Seconds until a client gives up, and the number of the client.
+/// Timeout that the client sets, and the id of the client.
 const CLIENT_TIMEOUT_SECONDS: f64 = 3.3;
 const CLIENT_ID: usize = 9;
 
-/// What was measured; of those by window one value each.
+/// Results of a simulation. Vectors described as "by window" have one value per measured window.
 #[derive(Default)]
 pub struct DispatcherMetrics {
-    /// CPU of a call in microseconds, by window.
+    /// CPU per call in microseconds, by window.
     pub cpu_micros: Vec<f64>,
-    /// Memory of the dispatcher, by window.
+    /// Memory of the dispatcher in MB, by window.
     pub megabytes: Vec<f64>,
-    /// Functions that it holds state of, by window.
+    /// Number of functions for which the dispatcher holds state, by window.
     pub functions: Vec<f64>,
-    /// Health checks a call, by window.
+    /// Health checks per call, by window.
     pub health_checks: Vec<f64>,
-    /// Load requests a call, by window.
+    /// Load requests per call, by window.
     pub load_requests: Vec<f64>,
-    /// Milliseconds until a call whose function is loaded nowhere had its first attempt.
+    /// For each call whose function was loaded nowhere, the milliseconds until its first attempt.
     pub cold_start_millis: Vec<f64>,
     /// Fraction of the calls that succeeded.
     pub success_ratio: f64,
-    /// Instances that the gateway used and that are still loaded at the end.
+    /// Number of instances that the gateway has used and that are still loaded at the end.
     pub loaded_instances: f64,
 }
 
-/// What happens in simulated time.
+/// An event in simulated time.
 enum Event {
     RequestArrives,
     AttemptEnds { request: RequestId, attempt: usize, worker: usize, was_loaded: bool },
@@ -61,15 +62,15 @@
     ListUpdates,
 }
 
-/// What the dispatcher is given at one event. It is made before the measurement begins.
+/// The input of the dispatcher at one event. It is created outside of the measurement.
 struct Input {
-    /// The function of a request that arrives, by its rank.
+    /// The rank of the function of an arriving request.
     function: usize,
     report: Option<LoadReport>,
     update: Option<EndpointEntry>,
 }
 
-/// Distributions that are sampled at each call.
+/// Distributions that are sampled for each call.
 struct Distributions {
     function: Zipf<f64>,
     interval: Exp<f64>,
@@ -79,17 +80,18 @@
 impl Distributions {
     fn new(load: &FleetLoad) -> Self {
         Self {
-            function: Zipf::new(load.functions as f64, load.zipf_exponent).expect("a popularity"),
-            interval: Exp::new(load.calls_per_second).expect("a rate"),
-            execution: Exp::new(1.0 / MEAN_EXECUTION_SECONDS).expect("a time"),
+            function: Zipf::new(load.functions as f64, load.zipf_exponent)
+                .expect("the Zipf exponent is valid"),
+            interval: Exp::new(load.calls_per_second).expect("the call rate is positive"),
+            execution: Exp::new(1.0 / MEAN_EXECUTION_SECONDS).expect("the mean is positive"),
         }
     }
 }
 
-/// Counters of the window that is measured.
+/// Counters of the current window.
 #[derive(Default)]
 struct Window {
-    /// Number of the window: 0 until the state is steady.
+    /// Number of the window; 0 is the warm-up.
     number: usize,
     cpu_seconds: f64,
     calls: u32,
@@ -101,14 +103,14 @@
     load: FleetLoad,
     rng: ChaCha8Rng,
     distributions: Distributions,
-    /// Names of the functions by rank, from 1.
+    /// Names of the functions, indexed by rank; rank 0 is not called.
     names: Vec<String>,
     list: Vec<EndpointEntry>,
     workers: SimulatedWorkers,
     queue: EventQueue<Event>,
     dispatcher: Dispatcher<usize>,
     clock_overhead: f64,
-    /// Bytes that the dispatcher holds; tables of the simulation are not counted.
+    /// Bytes allocated by the dispatcher, without the tables of the simulation.
     dispatcher_bytes: f64,
     window: Window,
     list_updates: usize,
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Begins the first window once the state is steady, and closes each at its end.
+    /// Begins the first measured window after the warm-up, and records each window at its end.
     fn advance_window(&mut self, now: f64) {
         let steady_state_start = self.load.idle_timeout + WARM_UP_SECONDS;
         if self.window.number == 0 && now >= steady_state_start {
@@ -216,8 +218,8 @@
         let request = self.dispatch(now, event, &input);
         let actions = self.actions(now);
         self.window.cpu_seconds += cpu_seconds() - start - self.clock_overhead;
-        let own_bytes = (actions.capacity() * size_of::<Action>()) as f64;
-        self.dispatcher_bytes += allocated_bytes() - bytes_before - own_bytes;
+        let action_bytes = (actions.capacity() * size_of::<Action>()) as f64;
+        self.dispatcher_bytes += allocated_bytes() - bytes_before - action_bytes;
         match event {
             Event::RequestArrives => self.request_arrived(now, input.function, request),
             Event::ListUpdates => self.schedule_list_update(now),
@@ -243,7 +245,7 @@
         Input { function, report, update }
     }
 
-    /// Each second update reverts the one before.
+    /// The next update of the endpoint list: a worker starts to drain, and every second update reverts this.
     fn next_update(&mut self) -> EndpointEntry {
         let mut endpoint = self.list[self.list_updates / 2 % self.load.workers].clone();
         if self.list_updates.is_multiple_of(2) {
@@ -253,7 +255,8 @@
         endpoint
     }
 
-    /// The measured part: timers that are due, then the event. Returns the id of a request that arrived.
+    /// First part of the measured code: runs timers that are due and passes the event to the dispatcher. Returns the id
+    /// of an arriving request.
     fn dispatch(&mut self, now: f64, event: &Event, input: &Input) -> Option<RequestId> {
         let dispatcher = &mut self.dispatcher;
         while dispatcher.next_deadline().is_some_and(|deadline| deadline <= now) {
@@ -285,7 +288,7 @@
         None
     }
 
-    /// The rest of the measured part: what the dispatcher asks for.
+    /// Second part of the measured code: collects the actions that the dispatcher requests.
     fn actions(&mut self, now: f64) -> Vec<Action> {
         let mut actions = Vec::new();
         while let Some(action) = self.dispatcher.next_action() {
--- a/crates/capacity-model/benches/slopes/endpoint_list.rs
+++ b/crates/capacity-model/benches/slopes/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! One update of the endpoint list inside the dispatcher: for how long nothing else is decided, and what the hash ring
-//! and the state of the workers hold.
+//! An update of the endpoint list in the dispatcher: the time for which it blocks routing decisions, and the memory
+//! of the hash ring and of the state of the workers.
 
 use crate::measure::{
     BYTES_PER_MEGABYTE, MILLISECONDS_PER_SECOND, Options, RunDescription, allocated_bytes, measurement, timed,
@@ -9,17 +9,17 @@
 use milletpath_protocol::registry::{EndpointEntry, EndpointStatus};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Numbers of workers that are measured.
+/// Measured numbers of workers.
 pub const WORKER_COUNTS: [usize; 5] = [300, 1_000, 3_000, 9_100, 30_000];
 
-/// Gateways of the fleet, and seconds of the idle timeout, where neither is the axis.
+/// Number of gateways and idle timeout in runs in which they are fixed.
 pub const GATEWAYS: usize = 1_100;
 pub const IDLE_TIMEOUT_SECONDS: f64 = 60.0;
 
 const ZONES: usize = 10;
 const FIRST_ADDRESS: u32 = 0x0a00_0000;
 
-/// A ready worker, which differs from others by its number.
+/// The entry of a ready worker with the given number.
 pub fn endpoint(number: usize) -> EndpointEntry {
     EndpointEntry {
         name: format!("worker-{number:05}"),
@@ -37,7 +37,8 @@
     (0..workers).map(endpoint).collect()
 }
 
-/// The dispatcher of one of so many gateways, with the idle timeout in seconds and further lines of configuration.
+/// Creates the dispatcher of one gateway of a fleet. `idle_timeout` is in seconds; `further` is appended to the
+/// configuration.
 pub fn dispatcher<T>(gateways: usize, idle_timeout: f64, further: &str) -> Dispatcher<T> {
     let profile = "profile \"p\" {\n  due = 1.1\n  cut_off = 3.3\n  effect = \"pure\"\n}\n";
     let functions = "functions {\n  lanes = 2\n  load = 0.4\n}\n";
@@ -45,7 +46,7 @@
     let text = format!("seed = 7\ngateways = {gateways}\n{profile}{functions}{workers}{further}");
     let mut config =
         milletpath_config::read(&text).unwrap_or_else(|errors| panic!("configuration: {errors:?}"));
-    // Nothing confirms the list here, and it changes only by what is passed on.
+    // No service confirms the list here, so it must not expire. It changes only by explicit updates.
     config.policy.list_valid_for = f64::INFINITY;
     Dispatcher::new(&config, 0.0)
 }
@@ -73,7 +74,7 @@
     .write(options, memory);
 }
 
-/// Memory of a full list in MB, and the time in ms that one more worker takes.
+/// Measures the memory of a complete list in MB, and the time in ms that the dispatcher takes to add one worker.
 fn measure_size(workers: usize) -> (Measurement, Measurement) {
     const REPEATS: usize = 9;
     let list = endpoints(workers);
--- a/crates/capacity-model/benches/slopes/endpoint_list_codec.rs
+++ b/crates/capacity-model/benches/slopes/endpoint_list_codec.rs
@@ -1,4 +1,4 @@
-//! The endpoint list on the wire: bytes of one entry and of all, and the time that reading all takes.
+//! The encoded endpoint list: the size of one entry and of the complete list, and the time to decode the list.
 
 use crate::endpoint_list::{WORKER_COUNTS, endpoints};
 use crate::measure::{
@@ -40,11 +40,11 @@
     .write(options, reading);
 }
 
-/// Milliseconds that each of several readings of an encoded list takes.
+/// Decodes an encoded list several times and returns the time of each decoding in milliseconds.
 fn reading_times(encoded: &[u8], workers: usize) -> Vec<f64> {
     const REPEATS: usize = 7;
     let read = |_| {
-        let (seconds, revision) = timed(|| registry::read(encoded).expect("a line of the list"));
+        let (seconds, revision) = timed(|| registry::read(encoded).expect("the encoded list is valid"));
         assert_eq!(revision.endpoints.len(), workers);
         seconds * MILLISECONDS_PER_SECOND
     };
--- a/crates/capacity-model/benches/slopes/event_queue.rs
+++ b/crates/capacity-model/benches/slopes/event_queue.rs
@@ -1,17 +1,18 @@
-//! Events in simulated time. Those of the same microsecond come in the order in which they were added.
+//! A queue of events in simulated time. Events at the same microsecond are returned in the order in which they were
+//! added.
 
 use std::collections::BTreeMap;
 
 const TICKS_PER_SECOND: f64 = 1e6;
 
-/// When an event happens.
+/// Sort key of an event: its time in ticks, then the order in which events were added.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EventKey {
     tick: u64,
     serial: u64,
 }
 
-/// Events by time.
+/// A queue of events, sorted by time.
 pub struct EventQueue<E> {
     events: BTreeMap<EventKey, E>,
     next_serial: u64,
@@ -22,14 +23,14 @@
         Self { events: BTreeMap::new(), next_serial: 1 }
     }
 
-    /// Adds an event at a time in seconds.
+    /// Adds an event; `time` is in seconds.
     pub fn push(&mut self, time: f64, event: E) {
         let key = EventKey { tick: (time * TICKS_PER_SECOND) as u64, serial: self.next_serial };
         self.next_serial += 1;
         self.events.insert(key, event);
     }
 
-    /// The earliest event with its time in seconds.
+    /// Removes the earliest event and returns it with its time in seconds.
     pub fn pop(&mut self) -> Option<(f64, E)> {
         let (key, event) = self.events.pop_first()?;
         Some((key.tick as f64 / TICKS_PER_SECOND, event))
--- a/crates/capacity-model/benches/slopes/fleet_load.rs
+++ b/crates/capacity-model/benches/slopes/fleet_load.rs
@@ -1,25 +1,25 @@
-//! The fleet and the calls that a simulated dispatcher sees.
+//! The fleet size and the load of a simulated dispatcher.
 
-/// The fleet and the calls that the dispatcher sees.
+/// The size of the fleet and the load on one gateway.
 #[derive(Clone, Copy)]
 pub struct FleetLoad {
-    /// Gateways of the fleet.
+    /// Number of gateways in the fleet.
     pub gateways: usize,
-    /// Workers of the fleet.
+    /// Number of workers in the fleet.
     pub workers: usize,
-    /// Distinct functions.
+    /// Number of distinct functions.
     pub functions: usize,
     /// Exponent of the Zipf distribution of calls over functions.
     pub zipf_exponent: f64,
     /// Calls per second at this gateway.
     pub calls_per_second: f64,
-    /// Updates of the endpoint list: a worker drains, and at the next update it is ready again.
+    /// Updates of the endpoint list per second: a worker starts to drain, and with the next update it is ready again.
     pub list_updates_per_second: f64,
     /// Seconds after which an idle instance is evicted.
     pub idle_timeout: f64,
 }
 
-/// One of 1,100 gateways, with calls of which most functions receive few.
+/// The load of one of 1,100 gateways at the target size. With this exponent most functions are rarely called.
 pub const TARGET_LOAD: FleetLoad = FleetLoad {
     gateways: 1_100,
     workers: 9_100,
--- a/crates/capacity-model/benches/slopes/main.rs
+++ b/crates/capacity-model/benches/slopes/main.rs
@@ -1,7 +1,7 @@
-//! Measures the slopes of docs/CAPACITY.md on one thread, by the thread's CPU clock and in simulated time.
+//! Measures the runs of the capacity model on a single thread, with the thread's CPU clock and in simulated time.
 //!
-//! `cargo bench -p milletpath-capacity-model --bench slopes -- GROUP... [--seed N] [--out FOLDER]` writes one JSON file a
-//! slope, by default to docs/capacity. Without a group it lists the groups.
+//! `cargo bench -p milletpath-capacity-model --bench slopes -- GROUP... [--seed N] [--out FOLDER]` writes one JSON file
+//! per run, by default to docs/capacity. Without a group it lists the groups.
 
 mod dispatcher;
 mod dispatcher_axes;
@@ -22,11 +22,11 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Slopes that are measured together.
+/// Runs that are measured together.
 struct Group {
-    /// As the command line and the recorded commands name it.
+    /// The name on the command line and in the commands that runs record.
     name: &'static str,
-    /// Measures the slopes and writes their files.
+    /// Measures the runs and writes their files.
     measure: fn(&Options),
 }
 
@@ -59,7 +59,7 @@
                 options.seed = arguments.next().and_then(|n| n.parse().ok()).unwrap_or(options.seed);
             }
             "--out" => options.folder = arguments.next().map_or(options.folder, Into::into),
-            // Cargo passes this one.
+            // Passed by cargo.
             "--bench" => {}
             _ => options.groups.push(argument),
         }
@@ -70,11 +70,11 @@
 fn run(options: &Options) -> ExitCode {
     let names = GROUPS.map(|group| group.name);
     if let Some(unknown) = options.groups.iter().find(|name| !names.contains(&name.as_str())) {
-        eprintln!("{unknown} is not a group; use some of {}", names.join(", "));
+        eprintln!("unknown group {unknown}; available groups: {}", names.join(", "));
         return ExitCode::from(2);
     }
     if options.groups.is_empty() {
-        println!("name some of {}", names.join(", "));
+        println!("available groups: {}", names.join(", "));
     }
     for group in GROUPS.iter().filter(|group| options.groups.iter().any(|name| name == group.name)) {
         (group.measure)(options);
--- a/crates/capacity-model/benches/slopes/measure.rs
+++ b/crates/capacity-model/benches/slopes/measure.rs
@@ -1,5 +1,4 @@
-//! What the slopes are measured with: the thread's CPU clock, a counting allocator, and the file that a slope is written
-//! to.
+//! Tools for the measurements: the thread's CPU clock, a counting allocator, and the output of a run to its file.
 
 use cap::Cap;
 use milletpath_capacity_model::run::{Measurement, Run};
@@ -16,24 +15,25 @@
 
 const SECONDS_PER_DAY: i64 = 86_400;
 
-/// Counts all bytes that the bench allocates.
+/// Counts the bytes that the bench has allocated.
 #[global_allocator]
 static ALLOCATED: Cap<System> = Cap::new(System, usize::MAX);
 
-/// Bytes that are allocated now.
+/// Number of bytes currently allocated.
 pub fn allocated_bytes() -> f64 {
     ALLOCATED.allocated() as f64
 }
 
-/// Seconds that this thread has spent on a processor.
-#[expect(clippy::disallowed_methods, reason = "the thread's own clock, which no step moves")]
+/// CPU time of this thread, in seconds.
+#[expect(clippy::disallowed_methods, reason = "the thread's CPU clock is not affected by clock adjustments")]
 pub fn cpu_seconds() -> f64 {
     let time =
-        clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).expect("the system has a clock for each thread");
+        clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).expect("the system provides thread CPU clocks");
     time.tv_sec() as f64 + time.tv_nsec() as f64 / 1e9
 }
 
-/// Seconds of CPU that one reading of that clock takes: subtracted where it is read around short operations.
+/// CPU time of one reading of the thread's CPU clock, in seconds. It is subtracted from measurements of short
+/// operations.
 pub fn clock_overhead() -> f64 {
     const READINGS: usize = 10_000;
     let start = cpu_seconds();
@@ -41,14 +41,14 @@
     (cpu_seconds() - start) / READINGS as f64
 }
 
-/// Seconds of CPU that an operation takes, with its result.
+/// Runs an operation and returns its CPU time in seconds together with its result.
 pub fn timed<T>(operation: impl FnOnce() -> T) -> (f64, T) {
     let start = cpu_seconds();
     let result = operation();
     (cpu_seconds() - start, result)
 }
 
-/// The median of the repeats at a size (the upper one of an even number), with their least and greatest.
+/// Summarizes the repeats at a size by their median (the upper one of an even number), minimum and maximum.
 pub fn measurement(size: f64, mut repeats: Vec<f64>) -> Measurement {
     repeats.sort_by(f64::total_cmp);
     Measurement {
@@ -61,17 +61,18 @@
     }
 }
 
-/// What the command line asks for.
+/// Options from the command line.
 pub struct Options {
     /// Names of the groups to measure.
     pub groups: Vec<String>,
     /// Seed of all random numbers.
     pub seed: u64,
-    /// Where the runs are written.
+    /// The folder that the runs are written to.
     pub folder: PathBuf,
 }
 
-/// The description of a slope. All of it but the group's name is stored in the run's file and printed on the page.
+/// The description of a run. Everything except the group, which is part of the recorded command, is stored in the
+/// file of the run and printed on the page.
 #[derive(Clone, Copy)]
 pub struct RunDescription {
     /// Name of the run and of its file.
@@ -82,23 +83,23 @@
     pub quantity: &'static str,
     /// Unit of the quantity.
     pub unit: &'static str,
-    /// What the axis counts.
+    /// Name of the axis.
     pub axis: &'static str,
-    /// How it is measured, and what is included beside the mechanism.
+    /// How the quantity is measured, and what the values include besides the mechanism.
     pub method: &'static str,
-    /// Names and values of the parameters that are equal at all sizes.
+    /// Names and values of the parameters that are the same at all sizes.
     pub fixed: &'static [(&'static str, f64)],
-    /// Name of the group that measures the slope.
+    /// Name of the group that measures the run.
     pub group: &'static str,
 }
 
 impl RunDescription {
-    /// Writes the run to its file, and one line a size to standard output.
+    /// Writes a run with one axis to its file, and one line per size to standard output.
     pub fn write(&self, options: &Options, measurements: Vec<Measurement>) {
         self.write_run(options, None, measurements);
     }
 
-    /// The same with a second axis.
+    /// Writes a run with two axes to its file, and one line per size to standard output.
     pub fn write_with_second_axis(
         &self,
         options: &Options,
@@ -112,7 +113,7 @@
         measurements.iter().for_each(|measurement| self.print(measurement));
         let run = self.run(options, second_axis, measurements);
         let path = options.folder.join(format!("{}.json", self.name));
-        let text = serde_json::to_string_pretty(&run).expect("a run is JSON") + "\n";
+        let text = serde_json::to_string_pretty(&run).expect("a run can be encoded as JSON") + "\n";
         std::fs::write(&path, text).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
     }
 
@@ -148,13 +149,13 @@
     }
 }
 
-/// The day in UTC, as 2026-12-02.
+/// Today's date in UTC, such as 2026-12-02.
 fn today() -> String {
     civil_date(unix_time() as i64 / SECONDS_PER_DAY)
 }
 
-/// The date of a day since 1970-01-01, in the Gregorian calendar: days are counted in years that begin in March, and in
-/// eras of 400 years.
+/// Converts a number of days since 1970-01-01 into a Gregorian date. Years are counted from March, so that the leap
+/// day is the last day of the year, and in eras of 400 years, after which the calendar repeats.
 fn civil_date(days_since_epoch: i64) -> String {
     const DAYS_FROM_MARCH_OF_YEAR_0: i64 = 719_468;
     const DAYS_PER_ERA: i64 = 146_097;
--- a/crates/capacity-model/benches/slopes/membership.rs
+++ b/crates/capacity-model/benches/slopes/membership.rs
@@ -1,4 +1,4 @@
-//! Membership of a whole fleet in simulated time: settled, and in the first seconds after all gateways started.
+//! Membership of a whole fleet in simulated time: in the first seconds after all gateways started, and settled.
 
 use crate::measure::{
     BYTES_PER_KILOBYTE, MILLISECONDS_PER_SECOND, Options, RunDescription, cpu_seconds, measurement,
@@ -9,35 +9,35 @@
 
 const GATEWAY_COUNTS: [usize; 7] = [24, 50, 100, 150, 200, 300, 400];
 
-/// One gateway of so many is a seed that new ones contact.
+/// There is one seed, which starting gateways contact, per this number of gateways.
 const GATEWAYS_PER_SEED: usize = 8;
 
-/// Seconds of CPU that all sizes may take; a size that would take longer is left out, and reported so.
+/// CPU time that all sizes together may take. A size that is expected to exceed it is skipped, with a message.
 const CPU_SECONDS_BUDGET: f64 = 420.0;
 
-/// Past this fraction of them only the start of a fleet is simulated, which costs most.
+/// Once this fraction of the budget is spent, only the start of a fleet is simulated, which costs most.
 const SETTLED_BUDGET_FRACTION: f64 = 0.8;
 
-/// By how much a size's cost exceeds that of the size before, at most: it grows with the cube of the gateways.
+/// Largest ratio of the costs of successive sizes; the cost grows with the cube of the number of gateways.
 const MAX_COST_GROWTH: f64 = 4.0;
 
-/// Simulated seconds after which a fleet counts as settled, and the seconds of a window.
+/// Simulated time after which a fleet counts as settled, and the duration of a measured window.
 const SETTLED_AFTER_SECONDS: f64 = 50.0;
 const WINDOW_SECONDS: f64 = 5.0;
 const STARTING_WINDOW_COUNT: usize = 2;
 const SETTLED_WINDOW_COUNT: usize = 3;
 
-/// Gateways whose quorum proof is measured.
+/// Number of gateways whose quorum proof is measured.
 const MEASURED_GATEWAYS: usize = 5;
 
-/// Cost of a gateway in one window, per second.
+/// Mean cost of a gateway in one window, per second.
 struct Window {
     cpu_millis: f64,
     kilobytes: f64,
     datagrams: f64,
 }
 
-/// Sent by all gateways since the beginning.
+/// Traffic sent by all gateways since the start of the simulation.
 struct Traffic {
     bytes: u64,
     datagrams: u64,
@@ -78,14 +78,14 @@
     ages.get(ages.len() * 99 / 100).copied().unwrap_or(0.0)
 }
 
-/// The fraction of the gateways that have a quorum.
+/// The fraction of gateways that have a quorum.
 fn quorum_fraction(network: &SimulatedNetwork) -> f64 {
     let has_quorum = |quota: &milletpath_membership::QuotaFraction| quota.fraction > quota.floor_fraction;
     let with_quorum = network.nodes.iter().filter(|node| node.quota.as_ref().is_some_and(has_quorum));
     with_quorum.count() as f64 / network.nodes.len() as f64
 }
 
-/// Measurements by size, of which some lack the largest sizes.
+/// Measurements of each run, by size. Those of the settled fleet may lack the largest sizes.
 #[derive(Default)]
 struct Measurements {
     starting_cpu: Vec<Measurement>,
@@ -102,7 +102,7 @@
 }
 
 impl Measurements {
-    /// The first seconds of a fleet; the fraction of the gateways that have a quorum then.
+    /// Measures the first seconds of a fleet and returns the fraction of gateways that have a quorum afterwards.
     fn add_starting(&mut self, network: &mut SimulatedNetwork) -> f64 {
         let size = network.nodes.len() as f64;
         let windows = run_windows(network, STARTING_WINDOW_COUNT);
@@ -120,7 +120,7 @@
         self.settled_datagrams.push(measured(size, &windows, |window| window.datagrams));
         self.ages.push(measurement(size, vec![assertion_age(network)]));
         let proof = |index: usize| {
-            let membership = network.nodes[index].membership.as_ref().expect("it is up");
+            let membership = network.nodes[index].membership.as_ref().expect("all gateways are running");
             proof_times(membership, 1)
         };
         self.proofs.push(measurement(size, (0..MEASURED_GATEWAYS).flat_map(proof).collect()));
@@ -199,7 +199,7 @@
         let (spent, expected) = (cpu_seconds() - start, last_cost * MAX_COST_GROWTH);
         if spent + expected > CPU_SECONDS_BUDGET {
             let left = CPU_SECONDS_BUDGET - spent;
-            println!("{gateways} gateways left out: some {expected:.0} s of CPU, {left:.0} s left");
+            println!("{gateways} gateways skipped: need about {expected:.0} s of CPU, {left:.0} s left");
             break;
         }
         let settled_before = start + CPU_SECONDS_BUDGET * SETTLED_BUDGET_FRACTION;
@@ -210,7 +210,8 @@
     measurements.write(options);
 }
 
-/// Simulates one size; the settled fleet only if the start ends before a time of the CPU clock.
+/// Simulates one size. The settled fleet is only simulated if the CPU clock is before `settled_before` after the start
+/// phase.
 fn measure_size(gateways: usize, seed: u64, settled_before: f64, measurements: &mut Measurements) {
     let seeds = 1.max(gateways / GATEWAYS_PER_SEED);
     let mut network = SimulatedNetwork::new(gateways, seeds, MEMBERSHIP_CONFIG, seed);
--- a/crates/capacity-model/benches/slopes/membership_proof.rs
+++ b/crates/capacity-model/benches/slopes/membership_proof.rs
@@ -1,4 +1,5 @@
-//! The quorum proof of one gateway against the number of members, the memory of its members, and the opening of a datagram.
+//! The quorum proof of one gateway and the memory of its membership view against the number of members, and the
+//! authentication and decoding of a datagram.
 
 use crate::measure::{
     BYTES_PER_MEGABYTE, MICROSECONDS_PER_SECOND, MILLISECONDS_PER_SECOND, Options, RunDescription,
@@ -11,11 +12,11 @@
 use std::hint::black_box;
 use std::net::SocketAddr;
 
-/// The configuration of a large fleet; times in seconds.
+/// The membership configuration of a large fleet; times are in seconds.
 pub const MEMBERSHIP_CONFIG: MembershipConfig =
     MembershipConfig { period: 0.4, lease: 12.0, floor: 0.5, budget_window: 10.0 };
 
-/// Seconds by which time advances until the gateway probes another.
+/// Step by which time advances until the gateway probes a member.
 const TICK_SECONDS: f64 = 0.05;
 
 fn identity(index: usize, max_gateways: usize) -> Identity {
@@ -29,24 +30,24 @@
     }
 }
 
-/// What the members assert of whom they know.
+/// Whether the members assert the same membership view.
 #[derive(Clone, Copy)]
 enum Assertions {
-    /// The same as the gateway itself.
+    /// All members assert the same view as the gateway itself.
     Equal,
-    /// Each something else.
+    /// Each member asserts a different view.
     Different,
 }
 
-/// A probe that the gateway sent and that is not answered yet.
+/// A probe that the gateway has sent and that has not been answered yet.
 struct Probe {
-    /// Index of the member that is probed.
+    /// Index of the probed member.
     member: usize,
     request_id: u64,
     now: f64,
 }
 
-/// A gateway that knows so many members and has a fresh assertion of each.
+/// Creates a gateway in a fleet of `members` that has a fresh assertion of each other member.
 fn member_with_fresh_assertions(members: usize, assertions: Assertions, seed: u64) -> Membership {
     let mut membership = Membership::new(identity(0, members), MEMBERSHIP_CONFIG, Vec::new(), seed, 0.0);
     for index in 1..members {
@@ -62,17 +63,17 @@
     membership
 }
 
-/// The gateway's own assertion, as it answers a ping.
+/// The gateway's own assertion, taken from its answer to a ping.
 fn own_assertion(membership: &mut Membership, members: usize) -> Assertion {
     let mut ping = Datagram::new(identity(1, members), 1, kind::PING, 1);
     ping.sequence = 2;
     membership.receive(0.002, ping);
     let own = std::iter::from_fn(|| membership.next_outgoing())
         .find_map(|sent| sent.datagram.assertions.first().cloned());
-    own.expect("an answer with its own assertion")
+    own.expect("the answer contains the gateway's own assertion")
 }
 
-/// Lets time pass until the gateway probes a member.
+/// Advances time until the gateway probes a member.
 fn next_probe(membership: &mut Membership) -> Probe {
     let mut now = 0.002;
     loop {
@@ -87,7 +88,7 @@
     }
 }
 
-/// The answer to a probe, which carries the assertions of all members.
+/// The answer to a probe, with the assertions of all members.
 fn answer(members: usize, assertions: Assertions, own: &Assertion, probe: &Probe, seed: u64) -> Datagram {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let different: Vec<(u64, u64)> = match assertions {
@@ -107,10 +108,10 @@
     answer
 }
 
-/// Milliseconds of each check of the quorum proof, as the membership link makes one after each datagram.
+/// CPU time in milliseconds of repeated checks of the quorum proof. The membership link makes one after each datagram.
 pub fn proof_times(membership: &Membership, repeats: usize) -> Vec<f64> {
     let mut membership = membership.clone();
-    // The clock does not advance: all assertions stay as fresh as they are.
+    // The time passed does not advance, so all assertions stay fresh.
     let _ = membership.quota_fraction(0.0);
     let check = |_| timed(|| _ = black_box(membership.quota_fraction(0.0))).0 * MILLISECONDS_PER_SECOND;
     (0..repeats).map(check).collect()
@@ -130,7 +131,11 @@
         let membership = member_with_fresh_assertions(members, Assertions::Equal, options.seed);
         let megabytes = (allocated_bytes() - before) / BYTES_PER_MEGABYTE;
         memory.push(measurement(size, vec![megabytes]));
-        assert_eq!(membership.fresh_instances().len(), members - 1, "a fresh assertion of each");
+        assert_eq!(
+            membership.fresh_instances().len(),
+            members - 1,
+            "there is a fresh assertion of each member"
+        );
         settled.push(measurement(size, proof_times(&membership, 15)));
         drop(membership);
         let membership = member_with_fresh_assertions(members, Assertions::Different, options.seed);
@@ -165,14 +170,15 @@
     .write(options, memory);
 }
 
-/// Authenticating and decoding a datagram: the simulated network passes datagrams on without it.
+/// Measures authenticating and decoding a datagram, which the simulated network omits.
 fn datagram_opening(options: &Options) {
     const ASSERTIONS: [usize; 5] = [1, 10, 20, 40, 70];
     const REPEATS: usize = 5;
     const DATAGRAMS: usize = 2_000;
-    let key = Key::new(b"a key of chance for all gateways");
+    let key = Key::new(b"benchmark key, exactly 32 bytes.");
     let measure_size = |assertions| {
-        let sealed = datagram::seal(&key, &datagram_with(assertions)).expect("it fits");
+        let sealed =
+            datagram::seal(&key, &datagram_with(assertions)).expect("the datagram fits the maximum size");
         let open = || (0..DATAGRAMS).for_each(|_| _ = black_box(datagram::open(&key, black_box(&sealed))));
         let times = (0..REPEATS).map(|_| timed(open).0 * MICROSECONDS_PER_SECOND / DATAGRAMS as f64);
         measurement(sealed.len() as f64, times.collect())
@@ -190,9 +196,9 @@
     .write(options, ASSERTIONS.map(measure_size).to_vec());
 }
 
-/// A datagram of a fleet of 1,100 with so many assertions.
+/// A datagram in a fleet of 1,100 gateways with the given number of assertions.
 fn datagram_with(assertions: usize) -> Datagram {
-    /// Makes ids that are as long as those in service.
+    /// Spreads the ids over 64 bits, so that their encodings are as long as in production.
     const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
     let assertion = |n: u64| Assertion {
         instance_id: n.wrapping_mul(MULTIPLIER),
--- a/crates/capacity-model/benches/slopes/shared_budgets.rs
+++ b/crates/capacity-model/benches/slopes/shared_budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets of attempts at each worker, which the gateways share, inside the dispatcher.
+//! Budgets of attempts per worker, which the gateways share: the CPU that a gateway spends on them.
 
 use crate::endpoint_list::{WORKER_COUNTS, dispatcher, endpoint, endpoints};
 use crate::measure::{MILLISECONDS_PER_SECOND, Options, RunDescription, measurement, timed};
@@ -7,10 +7,10 @@
 use milletpath_gateway::budget_sharing::BudgetSharing;
 use milletpath_membership::QuotaFraction;
 
-/// Seconds for which an assertion counts towards a quorum in a large fleet.
+/// Time for which an assertion counts towards a quorum in a large fleet.
 pub const LEASE_SECONDS: f64 = 12.0;
 
-/// Seconds between two ticks of the membership link, and the ticks in a second.
+/// Interval between two ticks of the membership link, and the number of ticks per second.
 pub const TICK_SECONDS: f64 = 0.04;
 const TICKS_PER_SECOND: usize = 25;
 
@@ -20,7 +20,7 @@
 
 const LIMITS: &str = "limits {\n  in_flight = 2200\n}\n";
 
-/// A quorum of the whole fleet, which does not expire.
+/// The quota of a gateway in a quorum of the whole fleet that does not expire.
 const QUOTA: QuotaFraction = QuotaFraction {
     likely_gateways: 1_100.0,
     fraction: 1.0,
@@ -28,7 +28,7 @@
     valid_until: f64::INFINITY,
 };
 
-/// One gateway's dispatcher and its part in the shared budgets.
+/// The dispatcher of one gateway and its part in budget sharing.
 struct Gateway {
     dispatcher: Dispatcher<()>,
     sharing: BudgetSharing,
@@ -51,7 +51,7 @@
         self.sharing.tick(&mut self.dispatcher, self.now, &QUOTA, self.others.clone());
     }
 
-    /// Milliseconds of CPU in a second of ticks at which nothing has changed.
+    /// CPU time of one second of ticks without any change, in milliseconds.
     fn steady_second(&mut self) -> f64 {
         let ticks = || {
             for _ in 0..TICKS_PER_SECOND {
@@ -63,7 +63,7 @@
         timed(ticks).0 * MILLISECONDS_PER_SECOND
     }
 
-    /// Milliseconds that the first tick after a worker joined takes.
+    /// CPU time of the first tick after a worker joined, in milliseconds.
     fn join(&mut self, worker: usize) -> f64 {
         self.dispatcher.update_endpoints(self.now, false, &[endpoint(worker)]);
         timed(|| self.tick()).0 * MILLISECONDS_PER_SECOND
@@ -103,7 +103,7 @@
     .write(options, steady);
 }
 
-/// Seconds at which nothing changes, and joins of one worker each.
+/// Measures seconds without any change, and joins of one worker each.
 fn measure_size(workers: usize) -> (Measurement, Measurement) {
     const FIRST_JOIN: f64 = 100.0;
     let mut gateway = Gateway::new(workers);
--- a/crates/capacity-model/benches/slopes/simulated_cluster.rs
+++ b/crates/capacity-model/benches/slopes/simulated_cluster.rs
@@ -1,5 +1,5 @@
-//! The workers' side of control, and the store, in the simulator: a fleet scaled down as a whole, so that a gateway has as
-//! many calls and as many workers to choose among as at the target size.
+//! Measures what control costs the workers, and the fetches from the store, in the cluster simulator. The fleet is
+//! scaled down as a whole, so that each gateway has the same number of calls and workers as at the target size.
 
 use crate::measure::{Options, RunDescription, measurement};
 use milletpath_capacity_model::run::Measurement;
@@ -11,7 +11,7 @@
 
 const SEED_COUNT: u64 = 3;
 
-/// Calls per second, workers and functions for each gateway: as at the target size.
+/// Calls per second, workers and functions per gateway, as at the target size.
 const CALLS_PER_GATEWAY: f64 = 145.0;
 const WORKERS_PER_GATEWAY: usize = 8;
 const FUNCTIONS_PER_GATEWAY: usize = 30;
@@ -19,17 +19,17 @@
 const SIMULATED_SECONDS: f64 = 30.0;
 const ZIPF_EXPONENT: f64 = 1.1;
 
-/// Gateways in the scenario that is scaled up.
+/// Number of gateways in the scenario file, whose store is scaled up with the fleet.
 const SCENARIO_GATEWAYS: f64 = 2.0;
 
-/// Numbers of gateways of fleets whose calls grow with them.
+/// Measured numbers of gateways, with a number of calls that grows with them.
 const GATEWAY_COUNTS: [usize; 5] = [2, 5, 10, 20, 40];
 
-/// Calls per second of a fleet of [`CONSTANT_FLEET_GATEWAYS`].
+/// Measured calls per second in a fleet of [`CONSTANT_FLEET_GATEWAYS`].
 const FLEET_CALL_RATES: [f64; 5] = [145.0, 290.0, 580.0, 1_160.0, 1_740.0];
 const CONSTANT_FLEET_GATEWAYS: usize = 10;
 
-/// A fleet of so many gateways with so many calls per second.
+/// The scenario of a fleet with the given number of gateways and calls per second.
 fn scenario(gateways: usize, calls_per_second: f64) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days/town.hcl");
     let mut scenario = scenario_file::open(&file).unwrap_or_else(|errors| panic!("{errors:?}"));
@@ -45,7 +45,7 @@
     scenario
 }
 
-/// Gives the store the capacity that a larger fleet needs.
+/// Multiplies the capacity of the store by a factor, to match a larger fleet.
 fn scale_store(scenario: &mut Scenario, factor: f64) {
     let store = &mut scenario.store_spec;
     store.unslowed_fetches *= factor;
@@ -53,7 +53,7 @@
     store.overload_rate = store.overload_rate.map(|rate| rate * factor);
 }
 
-/// What one simulation showed.
+/// Results of one simulation.
 struct ClusterMetrics {
     health_checks_per_call: f64,
     load_requests_per_call: f64,
@@ -73,7 +73,8 @@
     }
 }
 
-/// Gateways that sent a worker something within the 30 s for which an idle connection is kept, on average.
+/// The mean number of gateways that sent a call or load request to a worker. The simulation takes as long as an idle
+/// connection is kept, so each of them has a connection.
 fn connections_per_worker(report: &SimulationReport, workers: usize) -> f64 {
     let events = report.records.iter().map(|record| &record.event);
     let connections: BTreeSet<(usize, usize)> = events
@@ -132,7 +133,7 @@
     ..HEALTH_CHECKS
 };
 
-/// Fleets whose calls, workers and functions grow with the gateways.
+/// Measures fleets whose calls, workers and functions grow with the number of gateways.
 fn growing_fleet(options: &Options) {
     let (mut health_checks, mut load_requests) = (Vec::new(), Vec::new());
     let (mut connections, mut fetches) = (Vec::new(), Vec::new());
@@ -166,7 +167,7 @@
         .write(options, fetches);
 }
 
-/// More calls for a fleet of constant size.
+/// Measures an increasing call rate in a fleet of constant size.
 fn constant_fleet(options: &Options) {
     let measure_calls = |calls| {
         let results = simulate(options, CONSTANT_FLEET_GATEWAYS, calls);
--- a/crates/capacity-model/benches/slopes/usage_reports.rs
+++ b/crates/capacity-model/benches/slopes/usage_reports.rs
@@ -1,5 +1,5 @@
-//! Usage reports among the gateways of a fleet, in simulated time: messages arrive at once, and only the first gateway's CPU
-//! is measured.
+//! Usage reports between the gateways of a fleet, in simulated time. Messages arrive without delay, and CPU is
+//! measured at the first gateway only.
 
 use crate::measure::{
     BYTES_PER_KILOBYTE, MILLISECONDS_PER_SECOND, Options, RunDescription, measurement, timed,
@@ -8,14 +8,15 @@
 use milletpath_capacity_model::run::Measurement;
 use milletpath_shared_budgets::{Entitlement, FunctionConcurrency, SharedBudgets};
 
-/// Bytes of a datagram around its message, as `milletpath-shared-budgets` counts them.
+/// Bytes of a datagram besides the message, as `milletpath-shared-budgets` counts them.
 const MESSAGE_OVERHEAD_BYTES: f64 = 150.0;
 
-/// The period of reports of a fleet of up to [`GATEWAYS_PER_BASE_PERIOD`], in seconds; it grows with larger fleets.
+/// Interval between the reports of a gateway in a fleet of up to [`GATEWAYS_PER_BASE_PERIOD`]. In larger fleets it
+/// grows in proportion to their size.
 const BASE_PERIOD_SECONDS: f64 = 0.8;
 const GATEWAYS_PER_BASE_PERIOD: f64 = 48.0;
 
-/// Periods that are not measured, and then those that are.
+/// Number of periods before the measurement, and number of measured periods.
 const WARM_UP_PERIODS: f64 = 2.5;
 const MEASURED_PERIODS: f64 = 4.0;
 
@@ -25,39 +26,39 @@
 const SEED_COUNT: u64 = 3;
 const SEED_STEP: u64 = 1_000;
 
-/// A quorum of the whole fleet, which does not expire.
+/// The entitlement of a gateway in a quorum of the whole fleet that does not expire.
 const ENTITLEMENT: Entitlement =
     Entitlement { fraction: 1.0, floor_fraction: 0.5, valid_until: f64::INFINITY };
 
-/// What the reports of a fleet came to.
+/// Results of a simulation.
 struct ReportingMetrics {
     /// Seconds between two reports of a gateway.
     period: f64,
-    /// Kilobytes per second that a gateway sends.
+    /// Mean kilobytes per second that a gateway sends.
     kilobytes: f64,
-    /// Milliseconds of CPU per second of one gateway.
+    /// CPU time of the first gateway, in milliseconds per second.
     cpu_millis: f64,
-    /// Functions whose usage a gateway knows at the end, the mean of all gateways.
+    /// Number of functions whose usage a gateway knows at the end; mean of all gateways.
     known_functions: f64,
-    /// Fraction of the messages that the limit on their bytes suppresses.
+    /// Fraction of the messages that are suppressed by the limit on bytes.
     suppressed: f64,
 }
 
-/// A message on its way, by the indices of its gateways.
+/// A message in transit; gateways are given by index.
 struct Message {
     sender: usize,
     receiver: usize,
     bytes: Vec<u8>,
 }
 
-/// Messages of all gateways.
+/// Message counters, summed over all gateways.
 #[derive(Clone, Copy, Default)]
 struct MessageCounts {
     sent: u64,
     suppressed: u64,
 }
 
-/// What is measured after the warm-up.
+/// Totals since the end of the warm-up.
 #[derive(Default)]
 struct Totals {
     bytes: f64,
@@ -66,8 +67,8 @@
     cpu_seconds: f64,
 }
 
-/// A fleet of so many gateways, each of which reports so many functions. They start one after the other over one period:
-/// all at the same moment, their reports would crowd at whoever sums them up.
+/// A fleet of gateways that each report a number of functions. The starts of the gateways are spread over one period:
+/// otherwise all reports would reach the summing gateways at the same time.
 struct Simulation {
     size: usize,
     functions: usize,
@@ -123,7 +124,7 @@
         self.finish()
     }
 
-    /// Moves on to the next report or start of a gateway.
+    /// Advances time to the next report or start of a gateway.
     fn advance(&mut self) {
         let next_reports = self.gateways.iter().map(SharedBudgets::next_usage_report);
         let next_report = next_reports.fold(f64::INFINITY, f64::min);
@@ -150,7 +151,7 @@
         (1..=self.size as u64).filter(|other| *other != id(gateway)).collect()
     }
 
-    /// Lets a gateway report, and delivers all messages that follow from it.
+    /// Lets a gateway report its usage, and delivers all resulting messages.
     fn report(&mut self, gateway: usize) {
         self.totals.reports += u64::from(self.is_measured());
         let (now, functions) = (self.now, self.functions);
@@ -171,7 +172,8 @@
         }
     }
 
-    /// What a gateway sends after an operation. The CPU of the first gateway is measured.
+    /// Performs an operation at a gateway and returns the messages that it sends. At the first gateway the CPU time is
+    /// measured.
     fn messages_after(&mut self, gateway: usize, operation: impl FnOnce(&mut SharedBudgets)) -> Vec<Message> {
         let budgets = &mut self.gateways[gateway];
         let (cpu_seconds, sent) = timed(|| {
@@ -189,7 +191,7 @@
         sent.into_iter().map(message).collect()
     }
 
-    /// Ticks of the first gateway's membership link, each of which sets the entitlement anew.
+    /// Performs the ticks of the first gateway's membership link, each of which renews the entitlement.
     fn tick(&mut self) {
         while self.next_tick < self.now && self.now < self.end() {
             let (now, others) = (self.now, self.others(0));
@@ -211,7 +213,7 @@
     }
 
     fn finish(mut self) -> ReportingMetrics {
-        assert!(self.totals.messages > 0, "somebody reported");
+        assert!(self.totals.messages > 0, "at least one message was sent");
         let seconds = self.end() - self.warm_up_end();
         let size = self.size as f64;
         let (before, after) = (self.counts_before.unwrap_or_default(), self.message_counts());
@@ -226,7 +228,8 @@
         }
     }
 
-    /// Functions whose usage is known, over all gateways. One that lacks the sum of a bucket uses none.
+    /// Number of functions whose usage is known, summed over all gateways. A gateway that lacks the sum of a bucket
+    /// knows none.
     fn known_functions(&mut self) -> usize {
         let now = self.now;
         let known = self.gateways.iter_mut().map(|budgets| budgets.usage_elsewhere(now));
@@ -239,7 +242,7 @@
     index as u64 + 1
 }
 
-/// The usage that each gateway reports.
+/// The usage that every gateway reports.
 fn usage(functions: usize) -> Vec<FunctionConcurrency> {
     /// Spreads the ids over all buckets.
     const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -258,7 +261,7 @@
     measurement(size as f64, results.iter().map(value).collect())
 }
 
-/// Period, bytes and CPU against the number of gateways.
+/// Measures period, bytes and CPU against the number of gateways.
 pub fn measure_gateways(options: &Options) {
     const GATEWAY_COUNTS: [usize; 6] = [24, 48, 100, 200, 400, 1_100];
     const FUNCTIONS: usize = 30;
@@ -298,7 +301,7 @@
     .write(options, cpu);
 }
 
-/// Known functions and suppressed messages against the number of functions that all gateways keep busy.
+/// Measures known functions and suppressed messages against the number of functions that all gateways keep busy.
 pub fn measure_functions(options: &Options) {
     let known = RunDescription {
         name: "counts-functions",
