--- a/crates/capacity-model/benches/slopes/membership_proof.rs
+++ b/crates/capacity-model/benches/slopes/membership_proof.rs
@@ -175,7 +175,7 @@
     const ASSERTIONS: [usize; 5] = [1, 10, 20, 40, 70];
     const REPEATS: usize = 5;
     const DATAGRAMS: usize = 2_000;
-    let key = Key::new(b"benchmark key, exactly 32 bytes.");
+    let key = Key::new(b"a fixed secret for the benchmark");
     let measure_size = |assertions| {
         let sealed =
             datagram::seal(&key, &datagram_with(assertions)).expect("the datagram fits the maximum size");
--- a/crates/capacity-model/benches/slopes/usage_reports.rs
+++ b/crates/capacity-model/benches/slopes/usage_reports.rs
@@ -9,12 +9,12 @@
 use milletpath_shared_budgets::{Entitlement, FunctionConcurrency, SharedBudgets};
 
 /// Bytes of a datagram besides the message, as `milletpath-shared-budgets` counts them.
-const MESSAGE_OVERHEAD_BYTES: f64 = 150.0;
+const ENVELOPE_BYTES: f64 = 150.0;
 
-/// Interval between the reports of a gateway in a fleet of up to [`GATEWAYS_PER_BASE_PERIOD`]. In larger fleets it
+/// Interval between the reports of a gateway in a fleet of up to [`GATEWAYS_AT_FULL_RATE`]. In larger fleets it
 /// grows in proportion to their size.
-const BASE_PERIOD_SECONDS: f64 = 0.8;
-const GATEWAYS_PER_BASE_PERIOD: f64 = 48.0;
+const REPORT_INTERVAL_SECONDS: f64 = 0.8;
+const GATEWAYS_AT_FULL_RATE: f64 = 48.0;
 
 /// Number of periods before the measurement, and number of measured periods.
 const WARM_UP_PERIODS: f64 = 2.5;
@@ -68,7 +68,7 @@
 }
 
 /// A fleet of gateways that each report a number of functions. The starts of the gateways are spread over one period:
-/// otherwise all reports would reach the summing gateways at the same time.
+/// otherwise all reports would reach the aggregators at the same time.
 struct Simulation {
     size: usize,
     functions: usize,
@@ -88,7 +88,7 @@
             functions,
             seed,
             gateways: Vec::new(),
-            period: BASE_PERIOD_SECONDS * (size as f64 / GATEWAYS_PER_BASE_PERIOD).max(1.0),
+            period: REPORT_INTERVAL_SECONDS * (size as f64 / GATEWAYS_AT_FULL_RATE).max(1.0),
             now: 0.0,
             next_tick: 0.0,
             totals: Totals::default(),
@@ -160,7 +160,7 @@
         });
         while let Some(message) = in_transit.pop() {
             if self.is_measured() {
-                self.totals.bytes += MESSAGE_OVERHEAD_BYTES + message.bytes.len() as f64;
+                self.totals.bytes += ENVELOPE_BYTES + message.bytes.len() as f64;
                 self.totals.messages += 1;
             }
             // Messages to a gateway that has not started are lost.
@@ -228,7 +228,7 @@
         }
     }
 
-    /// Number of functions whose usage is known, summed over all gateways. A gateway that lacks the sum of a bucket
+    /// Number of functions whose usage is known, summed over all gateways. A gateway that lacks the total of a bucket
     /// knows none.
     fn known_functions(&mut self) -> usize {
         let now = self.now;
--- a/crates/capacity-model/src/roles/gateway/known_functions.rs
+++ b/crates/capacity-model/src/roles/gateway/known_functions.rs
@@ -3,8 +3,9 @@
 use crate::assumptions::{Assumptions, Parameter};
 use crate::popularity::Popularity;
 
-/// Number of functions that the incremental eviction examines for each call.
-const EXAMINED_PER_CALL: f64 = 2.0;
+/// Number of functions that the sweep for unused functions checks at each call. Same as in
+/// `milletpath_policy::function_state`.
+const SWEPT_PER_CALL: f64 = 2.0;
 
 /// Fixed-point iterations; fewer suffice for convergence.
 const ITERATIONS: usize = 8;
@@ -34,15 +35,15 @@
     }
 
     /// The number of functions for which the gateway holds state at a time: those that were called within the idle
-    /// timeout plus the delay until the incremental eviction reaches them.
+    /// timeout plus the delay until the sweep reaches them.
     pub fn known_functions(&self) -> f64 {
         let popularity = Popularity::new(self.functions, self.zipf_exponent);
         let known_within = |seconds: f64| popularity.distinct_functions(self.calls_per_second * seconds);
         let mut known = known_within(self.idle_timeout_seconds);
         for _ in 0..ITERATIONS {
-            // On average the eviction reaches a function after half a pass over all known functions.
-            let eviction_delay = known / (EXAMINED_PER_CALL * self.calls_per_second) / 2.0;
-            known = known_within(self.idle_timeout_seconds + eviction_delay);
+            // On average the sweep reaches a function after half a pass over all known functions.
+            let sweep_delay = known / (SWEPT_PER_CALL * self.calls_per_second) / 2.0;
+            known = known_within(self.idle_timeout_seconds + sweep_delay);
         }
         known
     }
--- a/crates/capacity-model/src/roles/gateway/usage_reports.rs
+++ b/crates/capacity-model/src/roles/gateway/usage_reports.rs
@@ -10,21 +10,21 @@
 /// Mean execution time of a call at its worker, in seconds.
 const MEAN_CALL_SECONDS: f64 = 0.06;
 
-/// Number of buckets of functions; the reports of each are summed by one gateway. Same as in
+/// Number of buckets of functions; the reports for each are aggregated by one gateway. Same as in
 /// `milletpath_shared_budgets::usage_counts`.
 const BUCKETS: f64 = 16.0;
 
-/// Interval between the reports of a gateway, in seconds, in a fleet of up to [`GATEWAYS_PER_BASE_PERIOD`]. In larger
+/// Interval between the reports of a gateway, in seconds, in a fleet of up to [`GATEWAYS_AT_FULL_RATE`]. In larger
 /// fleets it grows in proportion to their size.
-const BASE_PERIOD_SECONDS: f64 = 0.8;
-const GATEWAYS_PER_BASE_PERIOD: f64 = 48.0;
+const REPORT_INTERVAL_SECONDS: f64 = 0.8;
+const GATEWAYS_AT_FULL_RATE: f64 = 48.0;
 
 /// A function with a lower concurrency at a gateway is not reported by it.
 const MIN_REPORTED_CONCURRENCY: f64 = 0.02;
 
-/// Bytes of a message without its entries, bytes per entry, and maximum number of entries. Same as in
+/// Bytes that a datagram adds to its message, bytes per entry, and maximum number of entries. Same as in
 /// `milletpath_shared_budgets::message`.
-const MESSAGE_OVERHEAD_BYTES: f64 = 150.0;
+const ENVELOPE_BYTES: f64 = 150.0;
 const ENTRY_BYTES: f64 = 20.0;
 const MAX_ENTRIES: f64 = 48.0;
 
@@ -35,7 +35,7 @@
     vec![
         smallest_reported(assumptions),
         functions_received(assumptions, fitted_runs),
-        answers_of_summing_gateway(assumptions),
+        aggregator_answers(assumptions),
     ]
 }
 
@@ -76,15 +76,15 @@
     measured(Resource::State, description, RUN, needed, "functions").with_formula(move |_, _| received)
 }
 
-/// Traffic of the answers that a gateway which sums one bucket sends to all gateways that report to it, compared with
-/// the limit on its messages.
-fn answers_of_summing_gateway(assumptions: &Assumptions) -> Quantity {
+/// Traffic of the answers that the aggregator of one bucket sends to the gateways that report to it. The limit is that
+/// on the messages of a gateway.
+fn aggregator_answers(assumptions: &Assumptions) -> Quantity {
     let gateways = assumptions.target.gateways;
     let functions = functions_on_several_instances(assumptions);
     let kilobytes_per_second = move |size: f64| {
-        let reports_per_second = (gateways * size).min(GATEWAYS_PER_BASE_PERIOD) / BASE_PERIOD_SECONDS;
+        let reports_per_second = (gateways * size).min(GATEWAYS_AT_FULL_RATE) / REPORT_INTERVAL_SECONDS;
         let entries = (functions(size) / BUCKETS).min(MAX_ENTRIES);
-        reports_per_second * (MESSAGE_OVERHEAD_BYTES + ENTRY_BYTES * entries) / 1e3
+        reports_per_second * (ENVELOPE_BYTES + ENTRY_BYTES * entries) / 1e3
     };
     Quantity::calculated(
         Role::Gateway,
--- a/crates/capacity-model/tests/popularity.rs
+++ b/crates/capacity-model/tests/popularity.rs
@@ -1,4 +1,4 @@
-//! Sums over a Zipf distribution by blocks of ranks agree with sums over each rank.
+//! Block sums over a Zipf distribution agree with exact sums, and results derived from them are consistent.
 
 use milletpath_capacity_model::popularity::{Popularity, min_exponent};
 use milletpath_capacity_model::roles::gateway::GatewayCalls;
@@ -9,7 +9,7 @@
 #[test_case(33_000, 0.5)]
 #[test_case(700, 1.1)]
 #[test_case(1, 1.1)]
-fn blocks_agree_with_single_ranks(functions: usize, exponent: f64) {
+fn block_sums_agree_with_exact_sums(functions: usize, exponent: f64) {
     let popularity = Popularity::new(functions as f64, exponent);
     let total: f64 = (1..=functions).map(|n| (n as f64).powf(-exponent)).sum();
     assert!((popularity.fraction(1.0) * total - 1.0).abs() < 1e-4);
@@ -20,17 +20,18 @@
     }
 }
 
-/// With the least exponent just over half of the functions are below the rate, with a little less just under half.
+/// With a slightly larger exponent more than half of the functions are called less often than the rate, with a slightly
+/// smaller one fewer than half.
 #[test]
-fn the_least_exponent_leaves_half_below_the_rate() {
+fn at_the_minimum_exponent_half_of_the_functions_are_rarely_called() {
     let (functions, calls, rate) = (33_000.0, 160_000.0, 1.0 / 60.0);
-    let least = min_exponent(functions, calls, rate);
+    let minimum = min_exponent(functions, calls, rate);
     let often = |exponent: f64| Popularity::new(functions, exponent).functions_above(rate / calls) as f64;
-    assert!(often(least + 0.001) < functions / 2.0 && often(least - 0.001) > functions / 2.0);
+    assert!(often(minimum + 0.001) < functions / 2.0 && often(minimum - 0.001) > functions / 2.0);
 }
 
-/// Never more than the functions that exist, nor than the calls in the time that counts; more calls or a longer idle
-/// timeout, more known functions.
+/// There are at most as many known functions as functions, and as calls in the idle timeout and the sweep delay. Their
+/// number grows with the call rate and with the idle timeout.
 #[test]
 fn known_functions_are_bounded_by_calls_and_by_functions() {
     let known = |calls_per_second, idle_timeout_seconds| {
--- a/crates/capacity-model/tests/rig/mod.rs
+++ b/crates/capacity-model/tests/rig/mod.rs
@@ -1,5 +1,5 @@
-//! The committed runs, and folders with copies of them that a test may change.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Access to the committed runs, and temporary folders with copies of them that a test may modify.
+#![allow(dead_code, reason = "each test file uses a part of this module")]
 
 use milletpath_capacity_model::assumptions::Assumptions;
 use milletpath_capacity_model::page::ASSUMPTIONS_FILE;
@@ -17,7 +17,7 @@
     (Assumptions::read(&folder.join(ASSUMPTIONS_FILE)).unwrap(), run::read_all(&folder).unwrap())
 }
 
-/// A temporary folder with the committed runs, without scale tests.
+/// A temporary folder with copies of the committed assumptions and runs, but not of the scale tests.
 pub struct RunFolder(pub PathBuf);
 
 impl RunFolder {
--- a/crates/capacity-model/tests/scale_runs.rs
+++ b/crates/capacity-model/tests/scale_runs.rs
@@ -1,4 +1,4 @@
-//! Results of scale tests appear in the tables, add shortfalls or remove them, and give slopes.
+//! Results of scale tests appear in the tables, add or remove shortfalls, and yield derived runs.
 
 mod rig;
 
@@ -17,16 +17,16 @@
  "known": {"change": {"p50": 0.2, "p99": 0.9, "worst": WORST, "never": NEVER}},
  "not_played": ["changes: none"], "machine": {"saturated": true}}"#;
 
-/// A result in which the last gateway learned of a change after `worst` seconds, and `never` of them never did.
+/// A result in which changes reached gateways within `worst` seconds, except that a gateway missed one `never` times.
 fn scale_run(worst: &str, never: u32) -> String {
     SCALE_RUN.replace('\n', "").replace("WORST", worst).replace("NEVER", &never.to_string())
 }
 
-/// A result in which changes reach all gateways in time removes the shortfall, and appears in both tables; what it did
-/// not measure is reported so.
+/// A result in which changes reach all gateways in time removes the shortfall. It appears in both tables, where values
+/// that are absent from it are shown as not measured.
 #[test_case("1.4", 0, true; "in time")]
 #[test_case("3.2", 0, false; "too late")]
-#[test_case("1.4", 2, false; "never at two")]
+#[test_case("1.4", 2, false; "never reached")]
 fn a_scale_run_appears_in_the_tables(worst: &str, never: u32, holds: bool) {
     let folder = RunFolder::new(&format!("scale-{worst}-{never}"));
     assert!(tables(&folder.0).unwrap().contains("Not run: no `scale-*.json`"));
@@ -34,14 +34,14 @@
     let before = after.replace("\"changes\"", "\"shares\"").replace("\"change\"", "\"death\"");
     std::fs::write(folder.0.join("scale-after.json"), format!("{{\"progress\": 0.5}}\n{after}\n")).unwrap();
     std::fs::write(folder.0.join("scale-before.json"), format!("{before}\n")).unwrap();
-    let made = tables(&folder.0).unwrap();
-    assert!(made.contains("| 0.4, 2, 5 **MISSES** | not measured | 7, 9, 11 |"), "{made}");
-    assert!(made.contains("| changes: none | saturated: contention is part of the values |"), "{made}");
-    assert!(made.contains("| before | never |"));
+    let tables = tables(&folder.0).unwrap();
+    assert!(tables.contains("| 0.4, 2, 5 **MISSES** | not measured | 7, 9, 11 |"), "{tables}");
+    assert!(tables.contains("| changes: none | saturated: contention is part of the values |"), "{tables}");
+    assert!(tables.contains("| before | never |"));
     let late = if never > 0 { format!("{worst}; never: {never}") } else { worst.to_owned() };
     let row = format!("| after | 0.2, 0.9, {late} | {}", if holds { "holds" } else { "**MISSES**" });
-    assert!(made.contains(&row), "{row}");
-    assert_eq!(made.contains("| a configuration change"), !holds);
+    assert!(tables.contains(&row), "{row}");
+    assert_eq!(tables.contains("| a configuration change"), !holds);
     let scale_runs = scale::read_all(&folder.0).unwrap();
     assert!(
         scale_runs.iter().any(|run| run.enabled("changes"))
@@ -49,24 +49,25 @@
     );
 }
 
-/// The committed slopes of whole fleets are those that the committed scale tests give, and no others.
+/// The committed derived runs are up to date with the committed scale tests, and there are no others.
 #[test]
-fn fleet_slopes_are_derived_from_the_scale_runs() {
+fn committed_derived_runs_match_the_scale_tests() {
     let folder = docs_folder().join("capacity");
     let scale_runs = scale::read_all(&folder).unwrap();
     let derived = derive_runs(&scale_runs);
     assert_eq!(derived.len(), 6);
     for run in derived {
         let committed = run::read(&folder.join(format!("{}.json", run.name))).unwrap();
-        assert!(committed == run, "{} is another: milletpath capacity --derive", run.name);
+        assert!(committed == run, "{} is not up to date; run milletpath capacity --derive", run.name);
     }
-    assert_eq!(derive_runs(&scale_runs[..3]), [], "fewer than four sizes give no slope");
+    assert_eq!(derive_runs(&scale_runs[..3]), [], "fewer than four sizes are not enough for a run");
 }
 
-/// Of fleets that spent more CPU than is granted, or whose membership did not converge, the smallest is a shortfall.
+/// Of the fleets that exceeded the CPU limit, and of those whose membership did not converge, the smallest is a
+/// shortfall.
 #[test]
-fn the_smallest_fleet_that_misses_is_a_shortfall() {
-    let folder = RunFolder::new("scale-least");
+fn the_smallest_failing_fleet_is_a_shortfall() {
+    let folder = RunFolder::new("scale-smallest");
     let converged = scale_run("0.9", 0);
     let write = |gateways: &str, cpu: &str, broken: &str| {
         let broken = format!("\"broken\": [{broken}]");
@@ -89,34 +90,34 @@
     assert!(convergence.reason.starts_with("never settled in roll"));
 }
 
-/// A fleet that could carry changes and made none is not shown as one without the mechanism.
+/// A fleet in which the mechanism was enabled but no change was measured is not shown as one without the mechanism.
 #[test]
-fn a_fleet_that_made_no_change_is_shown_as_after() {
+fn a_fleet_without_measured_changes_is_shown_as_after() {
     let folder = RunFolder::new("scale-none");
     let line = scale_run("0.9", 0);
     std::fs::write(folder.0.join("scale-after.json"), &line).unwrap();
     let none = line.replace("\"change\"", "\"death\"");
     std::fs::write(folder.0.join("scale-none.json"), none).unwrap();
-    let made = tables(&folder.0).unwrap();
-    assert!(made.contains("| after | never | **MISSES**, on a saturated machine |"), "{made}");
-    assert!(!made.contains("| before |"), "{made}");
+    let tables = tables(&folder.0).unwrap();
+    assert!(tables.contains("| after | never | **MISSES**, on a saturated machine |"), "{tables}");
+    assert!(!tables.contains("| before |"), "{tables}");
 }
 
 #[test]
-fn a_change_shown_only_in_a_small_fleet_remains_a_shortfall() {
+fn a_change_tested_only_in_a_small_fleet_remains_a_shortfall() {
     let folder = RunFolder::new("scale-small");
     let line = scale_run("0.9", 0).replace("1100", "60");
     std::fs::write(folder.0.join("scale-small.json"), line).unwrap();
-    let made = tables(&folder.0).unwrap();
-    assert!(made.contains("not shown among more than 60 gateways"), "{made}");
+    let tables = tables(&folder.0).unwrap();
+    assert!(tables.contains("not shown among more than 60 gateways"), "{tables}");
 }
 
 #[test_case("{\"gateways\": 3}\n", "contains no scale test result"; "no result line")]
-#[test_case("gateways\n", ":1:"; "no JSON")]
-#[test_case("{\"gateways\": -3, \"seed\": 1, \"control\": {}}\n", ":1:"; "fewer than none")]
-fn a_bad_scale_run_is_reported_with_its_place(text: &str, wrong: &str) {
-    let folder = RunFolder::new(&format!("bad-{}", text.len()));
-    std::fs::write(folder.0.join("scale-bad.json"), text).unwrap();
+#[test_case("gateways\n", ":1:"; "not JSON")]
+#[test_case("{\"gateways\": -3, \"seed\": 1, \"control\": {}}\n", ":1:"; "negative count")]
+fn an_invalid_scale_run_is_reported_with_file_and_line(text: &str, expected: &str) {
+    let folder = RunFolder::new(&format!("invalid-{}", text.len()));
+    std::fs::write(folder.0.join("scale-invalid.json"), text).unwrap();
     let message = tables(&folder.0).unwrap_err().to_string();
-    assert!(message.contains("scale-bad.json") && message.contains(wrong), "{message}");
+    assert!(message.contains("scale-invalid.json") && message.contains(expected), "{message}");
 }
