--- a/crates/capacity-model/benches/slopes/dispatcher_simulation.rs
+++ b/crates/capacity-model/benches/slopes/dispatcher_simulation.rs
@@ -81,7 +81,7 @@
     fn new(load: &FleetLoad) -> Self {
         Self {
             function: Zipf::new(load.functions as f64, load.zipf_exponent)
-                .expect("the Zipf exponent is valid"),
+                .expect("the Zipf parameters are valid"),
             interval: Exp::new(load.calls_per_second).expect("the call rate is positive"),
             execution: Exp::new(1.0 / MEAN_EXECUTION_SECONDS).expect("the mean is positive"),
         }
--- a/crates/capacity-model/src/page/scale_tables.rs
+++ b/crates/capacity-model/src/page/scale_tables.rs
@@ -129,9 +129,7 @@
 fn config_change_row(target: &Target, run: &ScaleRun) -> String {
     let propagation = run.change_propagation();
     let verdict = match propagation {
-        Some(propagation) if propagation.reached_all_within(target.config_propagation_seconds) => {
-            "holds".into()
-        }
+        Some(propagation) if propagation.reached_all_in(target.config_propagation_seconds) => "holds".into(),
         Some(_) => EXCEEDED.into(),
         None if run.enabled("changes") && run.is_saturated() => format!("{EXCEEDED}, on a saturated machine"),
         None if run.enabled("changes") => EXCEEDED.into(),
--- a/crates/capacity-model/src/scale.rs
+++ b/crates/capacity-model/src/scale.rs
@@ -24,7 +24,7 @@
 
 impl Distribution {
     /// Whether the event reached every gateway within `bound` seconds.
-    pub fn reached_all_within(&self, bound: f64) -> bool {
+    pub fn reached_all_in(&self, bound: f64) -> bool {
         self.never.unwrap_or(0) == 0 && self.worst.or(self.p99).is_some_and(|worst| worst <= bound)
     }
 }
--- a/crates/capacity-model/src/shortfalls.rs
+++ b/crates/capacity-model/src/shortfalls.rs
@@ -75,7 +75,7 @@
     let propagation_by_size = |run: &ScaleRun| Some((run.gateways as f64, *run.change_propagation()?));
     let observed: Vec<(f64, Distribution)> = scale_runs.iter().filter_map(propagation_by_size).collect();
     let largest = observed.iter().map(|(size, _)| *size).fold(0.0, f64::max);
-    let late = observed.iter().filter(|(_, propagation)| !propagation.reached_all_within(bound));
+    let late = observed.iter().filter(|(_, propagation)| !propagation.reached_all_in(bound));
     let (reason, breaking_point) = match late.min_by(|a, b| a.0.total_cmp(&b.0)) {
         _ if observed.is_empty() => {
             ("there is no mechanism: `serve` reads its configuration at start only".into(), 1.0 / gateways)
