--- a/crates/capacity-model/benches/slopes/dispatcher_simulation.rs
+++ b/crates/capacity-model/benches/slopes/dispatcher_simulation.rs
@@ -18,7 +18,8 @@
 use rand_distr::{Distribution, Exp, Zipf};
 use std::collections::HashMap;
 
-/// Simulated seconds beyond the idle timeout until the state is steady: the first instances have been evicted by then.
+/// Simulated seconds beyond the idle timeout until the state is steady: the functions that were called first have been
+/// evicted by then.
 const WARM_UP_SECONDS: f64 = 20.0;
 
 /// Number and duration of the measured windows, which follow the warm-up.
--- a/crates/capacity-model/benches/slopes/endpoint_list.rs
+++ b/crates/capacity-model/benches/slopes/endpoint_list.rs
@@ -37,13 +37,13 @@
     (0..workers).map(endpoint).collect()
 }
 
-/// Creates the dispatcher of one gateway of a fleet. `idle_timeout` is in seconds; `further` is appended to the
+/// Creates the dispatcher of one gateway of a fleet. `idle_timeout` is in seconds; `extra_config` is appended to the
 /// configuration.
-pub fn dispatcher<T>(gateways: usize, idle_timeout: f64, further: &str) -> Dispatcher<T> {
+pub fn dispatcher<T>(gateways: usize, idle_timeout: f64, extra_config: &str) -> Dispatcher<T> {
     let profile = "profile \"p\" {\n  due = 1.1\n  cut_off = 3.3\n  effect = \"pure\"\n}\n";
     let functions = "functions {\n  lanes = 2\n  load = 0.4\n}\n";
     let workers = format!("workers {{\n  registry = \"127.0.0.1:1\"\n  keep = {idle_timeout}\n}}\n");
-    let text = format!("seed = 7\ngateways = {gateways}\n{profile}{functions}{workers}{further}");
+    let text = format!("seed = 7\ngateways = {gateways}\n{profile}{functions}{workers}{extra_config}");
     let mut config =
         milletpath_config::read(&text).unwrap_or_else(|errors| panic!("configuration: {errors:?}"));
     // No service confirms the list here, so it must not expire. It changes only by explicit updates.
--- a/crates/capacity-model/src/fit.rs
+++ b/crates/capacity-model/src/fit.rs
@@ -9,7 +9,7 @@
 use crate::run::{Measurement, Run};
 use std::fmt;
 
-/// How a quantity grows with `n`, the position on the first axis, and `m`, the position on the second.
+/// How a quantity grows, on top of a constant, with `n`, the position on the first axis, and `m`, that on the second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Form {
     /// Does not grow.
--- a/crates/capacity-model/src/popularity.rs
+++ b/crates/capacity-model/src/popularity.rs
@@ -57,7 +57,7 @@
 /// The smallest exponent with which more than half of the functions receive fewer than `rate` calls per second, if all
 /// functions together receive `calls` per second.
 pub fn min_exponent(functions: f64, calls: f64, rate: f64) -> f64 {
-    /// Above any exponent of interest.
+    /// Larger than any exponent of interest.
     const MAX_EXPONENT: f64 = 8.0;
     const BISECTIONS: usize = 40;
     let median_rank = functions / 2.0;
--- a/crates/capacity-model/tests/scale_runs.rs
+++ b/crates/capacity-model/tests/scale_runs.rs
@@ -49,7 +49,7 @@
     );
 }
 
-/// The committed derived runs are up to date with the committed scale tests, and there are no others.
+/// The committed derived runs are up to date: the committed scale tests yield these six and no others.
 #[test]
 fn committed_derived_runs_match_the_scale_tests() {
     let folder = docs_folder().join("capacity");
