--- a/crates/capacity-model/benches/slopes/dispatcher_simulation.rs
+++ b/crates/capacity-model/benches/slopes/dispatcher_simulation.rs
@@ -1,11 +1,13 @@
-//! The dispatcher of one of many gateways, without sockets and in simulated time: what a call costs it, what it holds once
-//! it is steady, how often it sends health checks and load requests, and its part of a cold start.
+//! Simulates the dispatcher of one gateway of a fleet, without sockets and in simulated time. Measured are CPU per
+//! call, memory in the steady state, the rates of health checks and load requests, and the dispatcher's part of a
+//! cold start.
 
 use crate::endpoint_list::{dispatcher, endpoints};
 use crate::event_queue::EventQueue;
 use crate::fleet_load::FleetLoad;
 use crate::measure::{
-    BYTES_PER_MEGABYTE, MICROSECONDS, MILLISECONDS, allocated_bytes, clock_overhead, cpu_seconds,
+    BYTES_PER_MEGABYTE, MICROSECONDS_PER_SECOND, MILLISECONDS_PER_SECOND, allocated_bytes, clock_overhead,
+    cpu_seconds,
 };
 use crate::simulated_workers::{SimulatedWorkers, round_trip};
 use milletpath_dispatcher::dispatcher::{Action, AttemptResult, Dispatcher, IncomingRequest, RequestId};
@@ -16,42 +18,43 @@
 use rand_distr::{Distribution, Exp, Zipf};
 use std::collections::HashMap;
 
-/// Simulated seconds beyond the idle timeout until the state is steady: what was called first has been evicted.
-const WARM_UP: f64 = 20.0;
+/// Simulated seconds beyond the idle timeout until the state is steady: the functions that were called first have been
+/// evicted by then.
+const WARM_UP_SECONDS: f64 = 20.0;
 
-/// Windows that are measured then, and the seconds of each.
-const WINDOWS: usize = 5;
-const WINDOW: f64 = 5.0;
+/// Number and duration of the measured windows, which follow the warm-up.
+const WINDOW_COUNT: usize = 5;
+const WINDOW_SECONDS: f64 = 5.0;
 
-/// Mean execution time of a call, in seconds.
-const MEAN_EXECUTION: f64 = 0.05;
+/// Mean execution time of a call.
+const MEAN_EXECUTION_SECONDS: f64 = 0.05;
 
-/// Seconds until a client gives up, and the number of the client.
-const CLIENT_TIMEOUT: f64 = 3.3;
-const CLIENT: usize = 9;
+/// Timeout that the client sets, and the id of the client.
+const CLIENT_TIMEOUT_SECONDS: f64 = 3.3;
+const CLIENT_ID: usize = 9;
 
-/// What was measured; of those by window one value each.
+/// Results of a simulation. Vectors described as "by window" have one value per measured window.
 #[derive(Default)]
-pub struct Report {
-    /// CPU of a call in microseconds, by window.
+pub struct DispatcherMetrics {
+    /// CPU per call in microseconds, by window.
     pub cpu_micros: Vec<f64>,
-    /// Memory of the dispatcher, by window.
+    /// Memory of the dispatcher in MB, by window.
     pub megabytes: Vec<f64>,
-    /// Functions that it holds state of, by window.
+    /// Number of functions for which the dispatcher holds state, by window.
     pub functions: Vec<f64>,
-    /// Health checks a call, by window.
+    /// Health checks per call, by window.
     pub health_checks: Vec<f64>,
-    /// Load requests a call, by window.
+    /// Load requests per call, by window.
     pub load_requests: Vec<f64>,
-    /// Milliseconds until a call whose function is loaded nowhere had its first attempt.
+    /// For each call whose function was loaded nowhere, the milliseconds until its first attempt.
     pub cold_start_millis: Vec<f64>,
     /// Fraction of the calls that succeeded.
     pub success_ratio: f64,
-    /// Instances that the gateway used and that are still loaded at the end.
+    /// Number of instances that the gateway has used and that are still loaded at the end.
     pub loaded_instances: f64,
 }
 
-/// What happens in simulated time.
+/// An event in simulated time.
 enum Event {
     RequestArrives,
     AttemptEnds { request: RequestId, attempt: usize, worker: usize, was_loaded: bool },
@@ -60,15 +63,15 @@
     ListUpdates,
 }
 
-/// What the dispatcher is given at one event. It is made before the measurement begins.
+/// The input of the dispatcher at one event. It is created outside of the measurement.
 struct Input {
-    /// The function of a request that arrives, by its rank.
+    /// The rank of the function of an arriving request.
     function: usize,
     report: Option<LoadReport>,
     update: Option<EndpointEntry>,
 }
 
-/// Distributions that are sampled at each call.
+/// Distributions that are sampled for each call.
 struct Distributions {
     function: Zipf<f64>,
     interval: Exp<f64>,
@@ -78,17 +81,18 @@
 impl Distributions {
     fn new(load: &FleetLoad) -> Self {
         Self {
-            function: Zipf::new(load.functions as f64, load.zipf_exponent).expect("a popularity"),
-            interval: Exp::new(load.calls_per_second).expect("a rate"),
-            execution: Exp::new(1.0 / MEAN_EXECUTION).expect("a time"),
+            function: Zipf::new(load.functions as f64, load.zipf_exponent)
+                .expect("the Zipf parameters are valid"),
+            interval: Exp::new(load.calls_per_second).expect("the call rate is positive"),
+            execution: Exp::new(1.0 / MEAN_EXECUTION_SECONDS).expect("the mean is positive"),
         }
     }
 }
 
-/// Counters of the window that is measured.
+/// Counters of the current window.
 #[derive(Default)]
 struct Window {
-    /// Number of the window: 0 until the state is steady.
+    /// Number of the window; 0 is the warm-up.
     number: usize,
     cpu_seconds: f64,
     calls: u32,
@@ -100,24 +104,24 @@
     load: FleetLoad,
     rng: ChaCha8Rng,
     distributions: Distributions,
-    /// Names of the functions by rank, from 1.
+    /// Names of the functions, indexed by rank; rank 0 is not called.
     names: Vec<String>,
     list: Vec<EndpointEntry>,
     workers: SimulatedWorkers,
     queue: EventQueue<Event>,
     dispatcher: Dispatcher<usize>,
     clock_overhead: f64,
-    /// Bytes that the dispatcher holds; tables of the simulation are not counted.
+    /// Bytes allocated by the dispatcher, without the tables of the simulation.
     dispatcher_bytes: f64,
     window: Window,
     list_updates: usize,
     /// Arrival times of requests whose function is loaded nowhere, by serial number.
     cold_requests: HashMap<u64, f64>,
-    report: Report,
+    metrics: DispatcherMetrics,
 }
 
 /// Runs the simulation.
-pub fn simulate(load: FleetLoad, seed: u64) -> Report {
+pub fn simulate(load: FleetLoad, seed: u64) -> DispatcherMetrics {
     Simulation::new(load, seed).run()
 }
 
@@ -146,25 +150,25 @@
             window: Window::default(),
             list_updates: 0,
             cold_requests: HashMap::new(),
-            report: Report::default(),
+            metrics: DispatcherMetrics::default(),
         }
     }
 
-    fn run(mut self) -> Report {
+    fn run(mut self) -> DispatcherMetrics {
         self.queue.push(0.0, Event::RequestArrives);
         self.schedule_list_update(0.0);
         self.begin_window(0);
         while let Some((now, event)) = self.queue.pop() {
             self.advance_window(now);
-            if self.window.number > WINDOWS {
-                self.report.loaded_instances = self.workers.loaded_instances(now) as f64;
+            if self.window.number > WINDOW_COUNT {
+                self.metrics.loaded_instances = self.workers.loaded_instances(now) as f64;
                 break;
             }
             self.apply(now, &event);
         }
         let counters = self.dispatcher.counters();
-        self.report.success_ratio = counters.succeeded as f64 / counters.accepted.max(1) as f64;
-        self.report
+        self.metrics.success_ratio = counters.succeeded as f64 / counters.accepted.max(1) as f64;
+        self.metrics
     }
 
     fn schedule_list_update(&mut self, now: f64) {
@@ -173,14 +177,14 @@
         }
     }
 
-    /// Begins the first window once the state is steady, and closes each at its end.
+    /// Begins the first measured window after the warm-up, and records each window at its end.
     fn advance_window(&mut self, now: f64) {
-        let steady = self.load.idle_timeout + WARM_UP;
-        if self.window.number == 0 && now >= steady {
-            self.report.cold_start_millis.clear();
+        let steady_state_start = self.load.idle_timeout + WARM_UP_SECONDS;
+        if self.window.number == 0 && now >= steady_state_start {
+            self.metrics.cold_start_millis.clear();
             self.begin_window(1);
         }
-        if self.window.number > 0 && now >= steady + WINDOW * self.window.number as f64 {
+        if self.window.number > 0 && now >= steady_state_start + WINDOW_SECONDS * self.window.number as f64 {
             self.record_window();
             self.begin_window(self.window.number + 1);
         }
@@ -202,11 +206,11 @@
         let calls = f64::from(window.calls.max(1));
         let health_checks = counters.health_checks - window.health_checks_before;
         let load_requests = counters.load_requests - window.load_requests_before;
-        self.report.cpu_micros.push(window.cpu_seconds * MICROSECONDS / calls);
-        self.report.megabytes.push(self.dispatcher_bytes / BYTES_PER_MEGABYTE);
-        self.report.functions.push(self.dispatcher.function_count() as f64);
-        self.report.health_checks.push(health_checks as f64 / calls);
-        self.report.load_requests.push(load_requests as f64 / calls);
+        self.metrics.cpu_micros.push(window.cpu_seconds * MICROSECONDS_PER_SECOND / calls);
+        self.metrics.megabytes.push(self.dispatcher_bytes / BYTES_PER_MEGABYTE);
+        self.metrics.functions.push(self.dispatcher.function_count() as f64);
+        self.metrics.health_checks.push(health_checks as f64 / calls);
+        self.metrics.load_requests.push(load_requests as f64 / calls);
     }
 
     fn apply(&mut self, now: f64, event: &Event) {
@@ -215,8 +219,8 @@
         let request = self.dispatch(now, event, &input);
         let actions = self.actions(now);
         self.window.cpu_seconds += cpu_seconds() - start - self.clock_overhead;
-        let own_bytes = (actions.capacity() * size_of::<Action>()) as f64;
-        self.dispatcher_bytes += allocated_bytes() - bytes_before - own_bytes;
+        let action_bytes = (actions.capacity() * size_of::<Action>()) as f64;
+        self.dispatcher_bytes += allocated_bytes() - bytes_before - action_bytes;
         match event {
             Event::RequestArrives => self.request_arrived(now, input.function, request),
             Event::ListUpdates => self.schedule_list_update(now),
@@ -242,7 +246,7 @@
         Input { function, report, update }
     }
 
-    /// Each second update reverts the one before.
+    /// The next update of the endpoint list: a worker starts to drain, and every second update reverts this.
     fn next_update(&mut self) -> EndpointEntry {
         let mut endpoint = self.list[self.list_updates / 2 % self.load.workers].clone();
         if self.list_updates.is_multiple_of(2) {
@@ -252,7 +256,8 @@
         endpoint
     }
 
-    /// The measured part: timers that are due, then the event. Returns the id of a request that arrived.
+    /// First part of the measured code: runs timers that are due and passes the event to the dispatcher. Returns the id
+    /// of an arriving request.
     fn dispatch(&mut self, now: f64, event: &Event, input: &Input) -> Option<RequestId> {
         let dispatcher = &mut self.dispatcher;
         while dispatcher.next_deadline().is_some_and(|deadline| deadline <= now) {
@@ -263,8 +268,8 @@
                 let request = IncomingRequest {
                     function: &self.names[input.function],
                     profile: 0,
-                    client: CLIENT,
-                    timeout: CLIENT_TIMEOUT,
+                    client: CLIENT_ID,
+                    timeout: CLIENT_TIMEOUT_SECONDS,
                     is_retry: false,
                     resources: None,
                 };
@@ -284,7 +289,7 @@
         None
     }
 
-    /// The rest of the measured part: what the dispatcher asks for.
+    /// Second part of the measured code: collects the actions that the dispatcher requests.
     fn actions(&mut self, now: f64) -> Vec<Action> {
         let mut actions = Vec::new();
         while let Some(action) = self.dispatcher.next_action() {
@@ -327,7 +332,7 @@
 
     fn send_attempt(&mut self, now: f64, request: RequestId, attempt: usize, worker: usize) {
         if let Some(arrival) = self.cold_requests.remove(&request.serial) {
-            self.report.cold_start_millis.push((now - arrival) * MILLISECONDS);
+            self.metrics.cold_start_millis.push((now - arrival) * MILLISECONDS_PER_SECOND);
         }
         self.workers.begin_call(worker);
         let function = self.dispatcher.context(request).copied().unwrap_or(0);
--- a/crates/capacity-model/src/fleet_slopes.rs
+++ b/crates/capacity-model/src/derived_runs.rs
@@ -1,5 +1,6 @@
-//! Slopes of quantities that only a whole fleet shows, derived from scale tests: those with configuration changes and
-//! without membership, at [`MIN_SIZES`] fleet sizes or more, one change a second while cost was measured.
+//! Runs of quantities that can only be measured in a whole fleet, derived from scale tests. Used are the tests with
+//! configuration changes and without membership, with one change per second while costs were measured. A run needs
+//! results of at least [`MIN_SIZES`] fleet sizes.
 
 use crate::error::CapacityError;
 use crate::run::{MIN_SIZES, Measurement, Run};
@@ -11,10 +12,10 @@
 const KILOBYTES_PER_BYTE: f64 = 1e-3;
 const CONTROL_MACHINES: f64 = 7.0;
 
-const FOLLOWING: &str = "a log of changes that each gateway follows (`crates/config-log`)";
-const REPLICA: &str = "a replica of the log and its followers (`crates/config-log`)";
+const FOLLOWER_MECHANISM: &str = "a log of changes that each gateway follows (`crates/config-log`)";
+const REPLICA_MECHANISM: &str = "a replica of the log and its followers (`crates/config-log`)";
 
-/// The statistic of a distribution that is carried on to the target size.
+/// The statistic of a distribution that becomes the value of a derived run.
 #[derive(Clone, Copy)]
 enum Statistic {
     P99,
@@ -29,7 +30,7 @@
         }
     }
 
-    /// As the method of the derived run names it.
+    /// The name of the statistic in the method text of a derived run.
     fn label(self) -> &'static str {
         match self {
             Self::P99 => "the 99th in 100",
@@ -38,7 +39,7 @@
     }
 }
 
-/// A distribution of which all was measured, in the unit of a derived slope.
+/// The percentiles of a distribution, all of them measured, in the unit of a derived run.
 struct Percentiles {
     p50: f64,
     p99: f64,
@@ -55,7 +56,7 @@
         })
     }
 
-    /// Bytes sent and received, in kB.
+    /// Sum of the bytes sent and received, in kB.
     fn traffic(costs: &BTreeMap<String, Distribution>) -> Option<Self> {
         let received = Self::scaled(costs.get("bytes_in"), KILOBYTES_PER_BYTE)?;
         let sent = Self::scaled(costs.get("bytes_out"), KILOBYTES_PER_BYTE)?;
@@ -71,8 +72,8 @@
     }
 }
 
-/// How a slope is derived. The texts are stored in the run's file.
-struct FleetSlope {
+/// How one run is derived from scale tests. The texts are stored in the file of the run.
+struct Derivation {
     name: &'static str,
     mechanism: &'static str,
     quantity: &'static str,
@@ -81,50 +82,50 @@
     statistic: Statistic,
 }
 
-const FLEET_SLOPES: [FleetSlope; 6] = [
-    FleetSlope {
+const DERIVATIONS: [Derivation; 6] = [
+    Derivation {
         name: "changes-cpu",
-        mechanism: FOLLOWING,
+        mechanism: FOLLOWER_MECHANISM,
         quantity: "CPU a second of one gateway that follows changes, one a second",
         unit: "ms",
         percentiles: |run| Percentiles::cpu_milliseconds(&run.control_changes),
         statistic: Statistic::P99,
     },
-    FleetSlope {
+    Derivation {
         name: "changes-bytes",
-        mechanism: FOLLOWING,
+        mechanism: FOLLOWER_MECHANISM,
         quantity: "bytes a second of one gateway that follows changes, one a second, sent and heard",
         unit: "kB",
         percentiles: |run| Percentiles::traffic(&run.control_changes),
         statistic: Statistic::P99,
     },
-    FleetSlope {
+    Derivation {
         name: "changes-known",
-        mechanism: FOLLOWING,
+        mechanism: FOLLOWER_MECHANISM,
         quantity: "time until a change is in force at a gateway, over all plays",
         unit: "s",
         percentiles: |run| Percentiles::scaled(run.change_propagation(), 1.0),
         statistic: Statistic::Worst,
     },
-    FleetSlope {
+    Derivation {
         name: "control-cpu",
-        mechanism: REPLICA,
+        mechanism: REPLICA_MECHANISM,
         quantity: "CPU a second of one of 7 control machines, a change a second",
         unit: "ms",
         percentiles: |run| Percentiles::cpu_milliseconds(&run.control_machines),
         statistic: Statistic::Worst,
     },
-    FleetSlope {
+    Derivation {
         name: "control-bytes",
-        mechanism: REPLICA,
+        mechanism: REPLICA_MECHANISM,
         quantity: "bytes a second of one of 7 control machines, a change a second, sent and heard",
         unit: "kB",
         percentiles: |run| Percentiles::traffic(&run.control_machines),
         statistic: Statistic::Worst,
     },
-    FleetSlope {
+    Derivation {
         name: "control-memory",
-        mechanism: REPLICA,
+        mechanism: REPLICA_MECHANISM,
         quantity: "resident memory of one of 7 control machines, some 100 changes of 32 functions in all",
         unit: "MB",
         percentiles: |run| Percentiles::scaled(run.control_machines.get("memory_mb"), 1.0),
@@ -132,7 +133,7 @@
     },
 ];
 
-impl FleetSlope {
+impl Derivation {
     fn measurement(&self, scale_run: &ScaleRun) -> Option<Measurement> {
         let values = (self.percentiles)(scale_run)?;
         Some(Measurement {
@@ -145,7 +146,7 @@
         })
     }
 
-    /// The run over all fleets; `None` if too few sizes were measured.
+    /// The run with one measurement per fleet; `None` if too few fleet sizes were measured.
     fn run(&self, scale_runs: &[&ScaleRun]) -> Option<Run> {
         let measurements: Vec<Measurement> =
             scale_runs.iter().filter_map(|scale_run| self.measurement(scale_run)).collect();
@@ -178,22 +179,22 @@
     }
 }
 
-/// The slopes that the scale tests give. Results of a saturated machine are left out; a slope of fewer than
-/// [`MIN_SIZES`] fleet sizes is not made.
-pub fn fleet_slopes(scale_runs: &[ScaleRun]) -> Vec<Run> {
+/// Derives all runs that the scale tests provide enough data for. Results from a saturated machine are ignored, and a
+/// run with fewer than [`MIN_SIZES`] fleet sizes is omitted.
+pub fn derive_runs(scale_runs: &[ScaleRun]) -> Vec<Run> {
     let is_suitable = |run: &&ScaleRun| {
-        run.ran("changes") && !run.ran("membership") && run.machine.saturated == Some(false)
+        run.enabled("changes") && !run.enabled("membership") && run.machine.saturated == Some(false)
     };
     let suitable: Vec<&ScaleRun> = scale_runs.iter().filter(is_suitable).collect();
-    FLEET_SLOPES.iter().filter_map(|slope| slope.run(&suitable)).collect()
+    DERIVATIONS.iter().filter_map(|derivation| derivation.run(&suitable)).collect()
 }
 
-/// Derives the slopes from the scale tests in a folder of runs, and writes them beside these.
+/// Derives runs from the scale tests in a folder and writes them to the same folder.
 ///
 /// # Errors
-/// A scale test cannot be read, or a run cannot be written.
-pub fn write_fleet_slopes(folder: &Path) -> Result<(), CapacityError> {
-    for run in fleet_slopes(&scale::read_all(folder)?) {
+/// A scale test cannot be read, or a derived run cannot be written.
+pub fn write_derived_runs(folder: &Path) -> Result<(), CapacityError> {
+    for run in derive_runs(&scale::read_all(folder)?) {
         let path = folder.join(format!("{}.json", run.name));
         let text = serde_json::to_string_pretty(&run)
             .map_err(|source| CapacityError::Encode { path: path.clone(), source })?;
--- a/crates/capacity-model/src/page/scale_tables.rs
+++ b/crates/capacity-model/src/page/scale_tables.rs
@@ -1,5 +1,5 @@
-//! Tables of the scale tests: each run, and configuration changes before and after there was a mechanism that carries
-//! them.
+//! Tables of the scale tests: one of all results, and one that compares fleets without a mechanism that propagates
+//! configuration changes (before) and with it (after).
 
 use crate::assumptions::Target;
 use crate::number::number;
@@ -8,7 +8,7 @@
 const KILOBYTES_PER_BYTE: f64 = 1e-3;
 const PERCENT: f64 = 100.0;
 
-const MISSES: &str = "**MISSES**";
+const EXCEEDED: &str = "**MISSES**";
 
 const SCALE_RUNS_TITLE: &str = "## Scale tests\n\n";
 
@@ -20,7 +20,7 @@
 const CONFIG_CHANGES_HEAD: &str = "| gateways | mechanism | change known, s | verdict | CPU, % of a core | kB/s received | kB/s sent | run |\n\
                                    | --- | --- | --- | --- | --- | --- | --- | --- |\n";
 
-/// A distribution, each value multiplied by `factor`.
+/// Formats a distribution, with each value multiplied by `factor`.
 fn distribution(distribution: Option<&Distribution>, factor: f64) -> String {
     let Some(distribution) = distribution else { return "not measured".into() };
     let value = |value: Option<f64>| value.map_or("-".into(), |value| number(value * factor));
@@ -30,7 +30,7 @@
     format!("{}, {}, {}{never}", value(p50), value(p99), value(worst))
 }
 
-/// The section with a row for each scale test.
+/// The section with one row for each scale test.
 pub(super) fn scale_runs(target: &Target, scale_runs: &[ScaleRun]) -> String {
     if scale_runs.is_empty() {
         return format!("{SCALE_RUNS_TITLE}Not run: no `scale-*.json` is among the runs.\n");
@@ -43,8 +43,8 @@
     let control = |key: &str, factor: f64| distribution(run.control.get(key), factor);
     let with_verdict = |key: &str, factor: f64, limit: f64| {
         let p99 = run.control.get(key).and_then(|distribution| distribution.p99);
-        let misses = p99.is_some_and(|p99| p99 * factor > limit);
-        control(key, factor) + &miss_suffix(misses)
+        let exceeds_limit = p99.is_some_and(|p99| p99 * factor > limit);
+        control(key, factor) + &exceeded_suffix(exceeds_limit)
     };
     let known = |event: &str| distribution(run.known.get(event), 1.0);
     let cells = [
@@ -55,7 +55,7 @@
         with_verdict("cpu", PERCENT, target.cpu_percent),
         with_verdict("memory_mb", 1.0, target.memory_megabytes),
         control("bytes_in", KILOBYTES_PER_BYTE),
-        control("bytes_out", KILOBYTES_PER_BYTE) + &miss_suffix(exceeds_traffic(target, run)),
+        control("bytes_out", KILOBYTES_PER_BYTE) + &exceeded_suffix(exceeds_traffic(target, run)),
         known("death"),
         known("join"),
         known("change"),
@@ -70,11 +70,11 @@
     format!("[{}](capacity/{})", run.file_stem(), run.file)
 }
 
-fn miss_suffix(misses: bool) -> String {
-    if misses { format!(" {MISSES}") } else { String::new() }
+fn exceeded_suffix(exceeds_limit: bool) -> String {
+    if exceeds_limit { format!(" {EXCEEDED}") } else { String::new() }
 }
 
-/// Whether the 99th percentiles of sent and received bytes exceed the limit together.
+/// Whether the sum of the 99th percentiles of sent and received bytes exceeds the limit.
 fn exceeds_traffic(target: &Target, run: &ScaleRun) -> bool {
     let p99 = |key: &&str| run.control.get(*key)?.p99;
     let bytes = ["bytes_in", "bytes_out"].iter().filter_map(p99).sum::<f64>();
@@ -97,8 +97,8 @@
     }
 }
 
-/// The section on what carrying configuration changes costs and how soon they are in force, beside fleets of the same
-/// size without it.
+/// The section on the cost and delay of propagating configuration changes, with fleets of the same size that do not
+/// propagate them for comparison.
 pub(super) fn config_changes(target: &Target, scale_runs: &[ScaleRun]) -> String {
     let introduction = config_changes_introduction(target);
     let with_changes: Vec<&ScaleRun> =
@@ -106,7 +106,7 @@
     if with_changes.is_empty() {
         return introduction + "After: not run.\n";
     }
-    // A fleet without changes is compared with one of the same size.
+    // Fleets without changes are only shown next to one of the same size with changes.
     let is_compared = |run: &&ScaleRun| {
         run.change_propagation().is_some() || with_changes.iter().any(|other| other.gateways == run.gateways)
     };
@@ -129,13 +129,13 @@
 fn config_change_row(target: &Target, run: &ScaleRun) -> String {
     let propagation = run.change_propagation();
     let verdict = match propagation {
-        Some(propagation) if propagation.is_within(target.config_propagation_seconds) => "holds".into(),
-        Some(_) => MISSES.into(),
-        None if run.ran("changes") && run.is_saturated() => format!("{MISSES}, on a saturated machine"),
-        None if run.ran("changes") => MISSES.into(),
+        Some(propagation) if propagation.reached_all_in(target.config_propagation_seconds) => "holds".into(),
+        Some(_) => EXCEEDED.into(),
+        None if run.enabled("changes") && run.is_saturated() => format!("{EXCEEDED}, on a saturated machine"),
+        None if run.enabled("changes") => EXCEEDED.into(),
         None => String::new(),
     };
-    let has_mechanism = propagation.is_some() || run.ran("changes");
+    let has_mechanism = propagation.is_some() || run.enabled("changes");
     let control = |key: &str, factor: f64| distribution(run.control.get(key), factor);
     let cells = [
         number(run.gateways as f64),
--- a/crates/capacity-model/src/roles/gateway/latency.rs
+++ b/crates/capacity-model/src/roles/gateway/latency.rs
@@ -1,18 +1,19 @@
-//! How late a gateway learns and decides, and for how long one event blocks all others.
+//! Delays at a gateway: of configuration changes, membership and usage information, of events that block a core, and of
+//! cold starts.
 
 use super::{IDLE_PROOF_CHECKS_PER_SECOND, measured};
 use crate::assumptions::{Assumptions, Parameter};
+use crate::fitted_runs::FittedRuns;
 use crate::quantity::{Quantity, Resource};
-use crate::slopes::Slopes;
 
 /// Round trip to the farthest region in which workers run, in milliseconds.
 const FARTHEST_ROUND_TRIP_MS: f64 = 150.0;
 
-/// All but the cold start.
-pub(super) fn quantities(assumptions: &Assumptions, slopes: &Slopes) -> Vec<Quantity> {
+/// All delays except those of cold starts.
+pub(super) fn quantities(assumptions: &Assumptions, fitted_runs: &FittedRuns) -> Vec<Quantity> {
     let mut quantities = vec![config_propagation(assumptions)];
     quantities.extend(stalls(assumptions));
-    quantities.push(slowest_proof_check(assumptions, slopes));
+    quantities.push(slowest_proof_check(assumptions, fitted_runs));
     quantities.extend(ages(assumptions));
     quantities
 }
@@ -31,7 +32,7 @@
         .with_limit(target.config_propagation_seconds)
 }
 
-/// Events that block a core, which decides nothing else meanwhile.
+/// Events that block a core, so that it makes no routing decisions meanwhile.
 fn stalls(assumptions: &Assumptions) -> Vec<Quantity> {
     let limit = assumptions.value(Parameter::StallMilliseconds);
     let stall =
@@ -46,11 +47,12 @@
     ]
 }
 
-/// A check of the quorum proof where all gateways assert different views. The membership link falls behind where it
-/// takes longer than the time between two checks.
-fn slowest_proof_check(assumptions: &Assumptions, slopes: &Slopes) -> Quantity {
+/// The time of a quorum proof check when all gateways assert different views. If it takes longer than the interval
+/// between two checks, the membership link falls behind.
+fn slowest_proof_check(assumptions: &Assumptions, fitted_runs: &FittedRuns) -> Quantity {
     let gateways = assumptions.target.gateways;
-    let checks_per_second = slopes.value_or_zero("peers-letters", gateways) + IDLE_PROOF_CHECKS_PER_SECOND;
+    let checks_per_second =
+        fitted_runs.value_or_zero("peers-letters", gateways) + IDLE_PROOF_CHECKS_PER_SECOND;
     milliseconds(
         "one check of the quorum proof where all assertions differ: the worst case of a start",
         "proof-starting",
@@ -59,7 +61,7 @@
     .with_limit(1e3 / checks_per_second)
 }
 
-/// Ages of what a gateway knows of the others.
+/// Ages of the information that a gateway has about others.
 fn ages(assumptions: &Assumptions) -> Vec<Quantity> {
     let gateways = assumptions.target.gateways;
     vec![
@@ -70,7 +72,8 @@
     ]
 }
 
-/// What a gateway adds to a cold start. Its limit is what load time and network leave of the target.
+/// The time that the gateway adds to a cold start. The limit is the target minus the load time and the network round
+/// trip.
 pub(super) fn cold_start(assumptions: &Assumptions) -> Vec<Quantity> {
     let workers = assumptions.workers();
     let bound = assumptions.target.cold_start_seconds - assumptions.value(Parameter::LoadSeconds);
--- a/crates/capacity-model/src/shortfalls.rs
+++ b/crates/capacity-model/src/shortfalls.rs
@@ -1,34 +1,34 @@
-//! Where the fleet falls short of its target: missing mechanisms, mechanisms that fail by design or in a scale test, and
-//! projections that exceed their limit.
+//! Requirements that the fleet does not meet at the target size: because a mechanism is missing, by design, according
+//! to a scale test, or because a projected value exceeds its limit.
 
 use crate::assumptions::Assumptions;
 use crate::number::number;
 use crate::projection::Projection;
 use crate::scale::{Distribution, ScaleRun};
 
-/// How the scale test reports that membership never converged.
-const NEVER_CONVERGED: &str = "never settled";
+/// Prefix of the violation that a scale test reports if membership never converged.
+const NEVER_CONVERGED_PREFIX: &str = "never settled";
 
 /// A requirement that is not met at the target size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shortfall {
     /// The requirement.
     pub description: String,
-    /// Why it is not met.
+    /// Why the requirement is not met.
     pub reason: String,
-    /// The fraction of the target size from which on it is not met.
+    /// The fraction of the target size from which on the requirement is not met.
     pub breaking_point: f64,
     /// See [`Projection::breaks_below_measured`].
     pub breaks_below_measured: bool,
 }
 
 impl Shortfall {
-    /// A shortfall whose breaking point was observed or calculated.
+    /// A shortfall whose breaking point was observed or calculated rather than projected.
     fn observed(description: impl Into<String>, reason: String, breaking_point: f64) -> Self {
         Self { description: description.into(), reason, breaking_point, breaks_below_measured: false }
     }
 
-    /// A projection that exceeds its limit.
+    /// The shortfall of a projection that exceeds its limit.
     fn projected(projection: &Projection) -> Self {
         let reason = format!(
             "{}: {} {}, limit {}; {}",
@@ -47,16 +47,17 @@
     }
 }
 
-/// The projections that exceed their limit together with other shortfalls, by ascending breaking point.
+/// Combines the projections that exceed their limit with other shortfalls, sorted by breaking point.
 pub fn rank(projections: &[Projection], others: &[Shortfall]) -> Vec<Shortfall> {
-    let missed = projections.iter().filter(|projection| projection.misses());
-    let mut ranked: Vec<Shortfall> = others.iter().cloned().chain(missed.map(Shortfall::projected)).collect();
+    let exceeded = projections.iter().filter(|projection| projection.exceeds_limit());
+    let mut ranked: Vec<Shortfall> =
+        others.iter().cloned().chain(exceeded.map(Shortfall::projected)).collect();
     ranked.sort_by(|a, b| a.breaking_point.total_cmp(&b.breaking_point));
     ranked
 }
 
-/// Shortfalls that do not follow from a slope: a missing mechanism, failures in scale tests, and the loss of quorum when
-/// regions are partitioned. A scale test in which changes reach all gateways in time removes the first.
+/// Shortfalls that do not follow from a projection: configuration changes that do not reach all gateways in time,
+/// failures in scale tests, and the loss of quorum when regions are partitioned.
 pub fn shortfalls(assumptions: &Assumptions, scale_runs: &[ScaleRun]) -> Vec<Shortfall> {
     let found = [
         config_propagation(assumptions, scale_runs),
@@ -67,16 +68,16 @@
     found.into_iter().flatten().collect()
 }
 
-/// Propagation of configuration changes: missing, not shown at the target size, or too slow.
+/// Propagation of configuration changes is missing, too slow in a scale test, or untested at the target size.
 fn config_propagation(assumptions: &Assumptions, scale_runs: &[ScaleRun]) -> Option<Shortfall> {
     let target = &assumptions.target;
     let (gateways, bound) = (target.gateways, target.config_propagation_seconds);
-    let with_gateways = |run: &ScaleRun| Some((run.gateways as f64, *run.change_propagation()?));
-    let shown: Vec<(f64, Distribution)> = scale_runs.iter().filter_map(with_gateways).collect();
-    let largest = shown.iter().map(|(size, _)| *size).fold(0.0, f64::max);
-    let late = shown.iter().filter(|(_, propagation)| !propagation.is_within(bound));
+    let propagation_by_size = |run: &ScaleRun| Some((run.gateways as f64, *run.change_propagation()?));
+    let observed: Vec<(f64, Distribution)> = scale_runs.iter().filter_map(propagation_by_size).collect();
+    let largest = observed.iter().map(|(size, _)| *size).fold(0.0, f64::max);
+    let late = observed.iter().filter(|(_, propagation)| !propagation.reached_all_in(bound));
     let (reason, breaking_point) = match late.min_by(|a, b| a.0.total_cmp(&b.0)) {
-        _ if shown.is_empty() => {
+        _ if observed.is_empty() => {
             ("there is no mechanism: `serve` reads its configuration at start only".into(), 1.0 / gateways)
         }
         Some((size, propagation)) => (late_propagation(*size, propagation), size / gateways),
@@ -98,8 +99,8 @@
     )
 }
 
-/// The smallest fleet of real threads and sockets in which half of the gateways spent more CPU on control than is
-/// granted.
+/// The smallest fleet in a scale test, which uses real threads and sockets, whose median gateway spent more CPU on
+/// control than the target allows.
 fn control_cpu(assumptions: &Assumptions, scale_runs: &[ScaleRun]) -> Option<Shortfall> {
     let target = &assumptions.target;
     let median_percent = |run: &ScaleRun| run.control.get("cpu")?.p50.map(|cpu| 100.0 * cpu);
@@ -118,11 +119,11 @@
     Some(Shortfall::observed(description, reason, smallest.gateways as f64 / target.gateways))
 }
 
-/// The smallest fleet whose membership did not converge in some step of the scale test.
+/// The smallest fleet whose membership did not converge in some step of a scale test.
 fn membership_convergence(assumptions: &Assumptions, scale_runs: &[ScaleRun]) -> Option<Shortfall> {
     let violation = |run: &ScaleRun| {
         let descriptions = run.broken.iter().filter_map(|broken| broken.as_str());
-        descriptions.map(str::to_owned).find(|description| description.starts_with(NEVER_CONVERGED))
+        descriptions.map(str::to_owned).find(|description| description.starts_with(NEVER_CONVERGED_PREFIX))
     };
     let failed = scale_runs.iter().filter_map(|run| Some((run, violation(run)?)));
     let (smallest, violation) = failed.min_by_key(|(run, _)| run.gateways)?;
@@ -134,7 +135,7 @@
     Some(Shortfall::observed("membership converges, in the scale test", reason, breaking_point))
 }
 
-/// Equal regions that are partitioned from each other: none has a quorum as soon as there are two.
+/// If regions of equal size are partitioned from each other, none of them has a quorum, from two regions on.
 fn quorum_across_regions(assumptions: &Assumptions) -> Option<Shortfall> {
     let target = &assumptions.target;
     let lacks_quorum = |regions: &usize| target.gateways / *regions as f64 <= target.gateways / 2.0;
