--- a/crates/milletpath/src/check.rs
+++ b/crates/milletpath/src/check.rs
@@ -20,6 +20,6 @@
 /// The file cannot be read, has errors, or names a key file that cannot be used.
 pub fn run(options: &Options) -> Result<ExitStatus, ConfigFileError> {
     config_file::read(&options.config_file)?;
-    println!("{}: valid", options.config_file.display());
+    println!("{}: sound", options.config_file.display());
     Ok(ExitStatus::Success)
 }
