--- a/crates/milletpath/tests/platform/attempt_deadlines.rs
+++ b/crates/milletpath/tests/platform/attempt_deadlines.rs
@@ -26,6 +26,14 @@
         .with("ConnectTimeout", connect_timeout_ms * 1000)
 }
 
+/// Starts a router [`with_long_objective`] and waits until discovery has confirmed its endpoint list. Before that it
+/// would send a health check ahead of the first attempt.
+fn start_router(workers: &[SocketAddr], connect_timeout_ms: u32) -> Router {
+    let router = Router::with_configuration(&with_long_objective(workers, connect_timeout_ms));
+    router.wait_for_current_list();
+    router
+}
+
 /// The time limit in the fields of an attempt.
 fn time_limit(attempt: &Frame) -> Duration {
     let time_limit = attempt.fields.split(',').find_map(|field| field.strip_prefix("budget="));
@@ -50,7 +58,7 @@
 fn a_retry_states_the_remaining_time() {
     let workers = [(); 2].map(|()| ScriptedWorker::start());
     let addresses = workers.each_ref().map(|worker| worker.address);
-    let router = Router::with_configuration(&with_long_objective(&addresses, 250));
+    let router = start_router(&addresses, 250);
     let mut client = Client::connect(&router);
     client.send(&call_line(1, 1));
     let sent_at = Instant::now();
@@ -73,7 +81,7 @@
 #[test]
 fn an_attempt_on_a_late_connection_states_the_remaining_time() {
     let (worker, filler) = ScriptedWorker::with_full_backlog();
-    let router = Router::with_configuration(&with_long_objective(&[worker.address], 3000));
+    let router = start_router(&[worker.address], 3000);
     let mut client = Client::connect(&router);
     client.send(&call_line(1, 1));
     let sent_at = Instant::now();
@@ -94,7 +102,7 @@
 fn a_retry_after_a_pause_states_the_remaining_time() {
     let workers = [(); 2].map(|()| ScriptedWorker::start());
     let addresses = workers.each_ref().map(|worker| worker.address);
-    let router = Router::with_configuration(&with_long_objective(&addresses, 250));
+    let router = start_router(&addresses, 250);
     let mut client = Client::connect(&router);
     client.send(&call_line(1, 1));
     let sent_at = Instant::now();
@@ -123,7 +131,7 @@
 #[test_case(UnreadCall::PartialLine; "a partial line")]
 fn a_call_unread_during_a_pause_states_the_remaining_time(unread: UnreadCall) {
     let worker = ScriptedWorker::start();
-    let router = Router::with_configuration(&with_long_objective(&[worker.address], 250));
+    let router = start_router(&[worker.address], 250);
     let mut client = Client::connect(&router);
     assert!(client.is_router_ready(9));
     let line = call_line(1, 1);
@@ -150,7 +158,7 @@
 #[test]
 fn a_call_after_a_pause_has_its_full_time() {
     let worker = ScriptedWorker::start();
-    let router = Router::with_configuration(&with_long_objective(&[worker.address], 250));
+    let router = start_router(&[worker.address], 250);
     let mut client = Client::connect(&router);
     router.process.while_paused(|| std::thread::sleep(PAUSE));
     let resumed_at = Instant::now();
--- a/crates/milletpath/tests/platform/departed_clients.rs
+++ b/crates/milletpath/tests/platform/departed_clients.rs
@@ -65,6 +65,14 @@
     with_load_on_first_attempt(workers).with("Balancers", 2)
 }
 
+/// Starts a router and waits until discovery has confirmed its endpoint list. Before that it would send a health check
+/// ahead of the first attempt, whatever its configuration.
+fn start_router(configuration: &RouterConfiguration) -> Router {
+    let router = Router::with_configuration(configuration);
+    router.wait_for_current_list();
+    router
+}
+
 /// A call of a function whose instances execute one call at a time.
 fn sequential_call(number: u64, id: u64) -> String {
     call_line(number, id).replace("lanes:64", "lanes:1")
@@ -84,7 +92,7 @@
 #[test_matrix([Close, HalfClose, Reset, Cancel])]
 fn no_attempt_for_a_client_that_left_before_its_call_was_read(departure: Departure) {
     let worker = ScriptedWorker::start();
-    let router = Router::with_configuration(&with_load_on_first_attempt(&[worker.address]));
+    let router = start_router(&with_load_on_first_attempt(&[worker.address]));
     let mut remaining = Client::connect(&router);
     remaining.send(&call_line(1, 1));
     let mut connection = worker.accept();
@@ -157,7 +165,7 @@
 fn no_retry_for_a_client_that_has_left(departure: Departure, state: ProcessState) {
     let workers = [(); 2].map(|()| ScriptedWorker::start());
     let addresses = workers.each_ref().map(|worker| worker.address);
-    let router = Router::with_configuration(&with_load_on_first_attempt(&addresses));
+    let router = start_router(&with_load_on_first_attempt(&addresses));
     let mut departing = Client::connect(&router);
     departing.send(&call_line(1, DEPARTED_ID));
     let mut connection = ScriptedWorker::accept_at_any(&workers);
@@ -181,7 +189,7 @@
 fn a_retry_is_sent_for_a_client_that_stays() {
     let workers = [(); 2].map(|()| ScriptedWorker::start());
     let addresses = workers.each_ref().map(|worker| worker.address);
-    let router = Router::with_configuration(&with_load_on_first_attempt(&addresses));
+    let router = start_router(&with_load_on_first_attempt(&addresses));
     let mut remaining = Client::connect(&router);
     remaining.send(&call_line(1, REMAINING_ID));
     let mut first = ScriptedWorker::accept_at_any(&workers);
@@ -198,7 +206,7 @@
 #[test_matrix([Close, HalfClose, Reset, Cancel], [Running, Paused])]
 fn no_attempt_after_a_load_for_a_client_that_has_left(departure: Departure, state: ProcessState) {
     let worker = ScriptedWorker::start();
-    let router = Router::with_configuration(&with_load_requests(&[worker.address]));
+    let router = start_router(&with_load_requests(&[worker.address]));
     let mut departing = Client::connect(&router);
     departing.send(&call_line(1, DEPARTED_ID));
     let mut connection = worker.accept();
@@ -224,7 +232,7 @@
 #[test]
 fn an_attempt_is_sent_after_a_load_for_a_client_that_stays() {
     let worker = ScriptedWorker::start();
-    let router = Router::with_configuration(&with_load_requests(&[worker.address]));
+    let router = start_router(&with_load_requests(&[worker.address]));
     let mut remaining = Client::connect(&router);
     remaining.send(&call_line(1, REMAINING_ID));
     let mut connection = worker.accept();
@@ -244,7 +252,7 @@
 #[test_matrix([Close, HalfClose, Reset, Cancel], [Running, Paused])]
 fn no_queued_attempt_for_a_client_that_has_left(departure: Departure, state: ProcessState) {
     let worker = ScriptedWorker::start();
-    let router = Router::with_configuration(&with_load_on_first_attempt(&[worker.address]));
+    let router = start_router(&with_load_on_first_attempt(&[worker.address]));
     let mut other = Client::connect(&router);
     other.send(&sequential_call(1, 1));
     let mut connection = worker.accept();
@@ -296,7 +304,7 @@
     let (worker, filler) = ScriptedWorker::with_full_backlog();
     let configuration =
         RouterConfiguration::non_idempotent(&[worker.address], Discovery::steady().address, 3_000_000);
-    let router = Router::with_configuration(&configuration);
+    let router = start_router(&configuration);
     let mut departing = Client::connect(&router);
     departing.send(&call_line(1, DEPARTED_ID));
     let mut remaining = Client::connect(&router);
--- a/crates/milletpath/tests/platform/shutdown.rs
+++ b/crates/milletpath/tests/platform/shutdown.rs
@@ -170,7 +170,9 @@
     let start = |worker| {
         let configuration =
             RouterConfiguration::non_idempotent(&[worker], Discovery::steady().address, 9_000_000);
-        Router::with_configuration(&configuration.with("HardLimit", DEADLINE_MS * 1000))
+        let router = Router::with_configuration(&configuration.with("HardLimit", DEADLINE_MS * 1000));
+        router.wait_for_current_list();
+        router
     };
     let line = call_line(1, 1).replace("\"d\":2500", &format!("\"d\":{DEADLINE_MS}"));
     let reachable = ScriptedWorker::start();
--- a/crates/milletpath/tests/platform/worker_connections.rs
+++ b/crates/milletpath/tests/platform/worker_connections.rs
@@ -19,6 +19,7 @@
     let configuration =
         RouterConfiguration::non_idempotent(&[worker.address], Discovery::steady().address, 250_000);
     let router = Router::with_configuration(&configuration);
+    router.wait_for_current_list();
     let mut client = Client::connect(&router);
     client.send(&call_line(1, 1));
     let mut connection = worker.accept();
@@ -78,6 +79,7 @@
     let configuration =
         RouterConfiguration::non_idempotent(&addresses, Discovery::steady().address, 3_000_000);
     let router = Router::with_configuration(&configuration.with_idempotency_keys(deduplication_window));
+    router.wait_for_current_list();
     let mut client = Client::connect(&router);
     client.send(&call_line(1, 1).replace("\"t\":", "\"k\":\"key-1\",\"t\":"));
     let mut connection = first.accept();
